--- a/internal/syserr/retry.go
+++ b/internal/syserr/retry.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// Pauses between two tries of a call.
+// Bounds of the pause between two attempts at a call.
 const (
-	firstPause = time.Millisecond
-	mostPause  = 50 * time.Millisecond
+	minPause = time.Millisecond
+	maxPause = 50 * time.Millisecond
 )
 
-// Backoff is the pause before a call that failed is made again: it doubles from 1 to 50 ms. The zero value is ready.
+// Backoff is the pause before a failed call is retried: it doubles from 1 to 50 ms. The zero value is ready to use.
 type Backoff struct{ next time.Duration }
 
-// Next returns the pause before the next try.
-func (b *Backoff) Next() time.Duration {
-	pause := max(b.next, firstPause)
-	b.next = min(2*pause, mostPause)
+// Next returns the pause before the next retry.
+func (backoff *Backoff) Next() time.Duration {
+	pause := max(backoff.next, minPause)
+	backoff.next = min(2*pause, maxPause)
 	return pause
 }
 
-// Reset takes the news that a call succeeded.
-func (b *Backoff) Reset() { b.next = 0 }
+// Reset returns to the shortest pause, after a call has succeeded.
+func (backoff *Backoff) Reset() { backoff.next = 0 }
 
-// Retry calls f until it succeeds, until it fails in a way that again says no to, or until ctx is over; then it returns
-// f's last error, or that of ctx if f was never called.
-func Retry(ctx context.Context, again func(error) bool, f func() error) error {
-	var pause Backoff
+// Retry calls f until it succeeds, until it fails with an error that retryable rejects, or until ctx is done. It then
+// returns the last error of f, or that of ctx if f was never called.
+func Retry(ctx context.Context, retryable func(error) bool, f func() error) error {
+	var backoff Backoff
 	var err error
 	for ctx.Err() == nil {
-		if err = f(); err == nil || !again(err) {
+		if err = f(); err == nil || !retryable(err) {
 			return err
 		}
-		wait := time.NewTimer(pause.Next())
+		timer := time.NewTimer(backoff.Next())
 		select {
-		case <-wait.C:
+		case <-timer.C:
 		case <-ctx.Done():
-			wait.Stop()
+			timer.Stop()
 		}
 	}
 	if err == nil {
--- a/internal/syserr/syserr.go
+++ b/internal/syserr/syserr.go
@@ -1,5 +1,5 @@
-// Package syserr tells errors of system calls apart by what they say: that the call may be repeated, that this machine
-// could not do it just now, or that what it was made on is broken; and makes calls again.
+// Package syserr classifies errors of system calls: the call may be repeated, this machine could not carry it out for
+// now, or the object of the call is broken. It also retries calls.
 package syserr
 
 import (
@@ -8,34 +8,36 @@
 	"golang.org/x/sys/unix"
 )
 
-// Transient tells that a call failed for want of something that this machine may have again at any moment, or was
-// interrupted. What the call was made on is as good as before, and the call may be repeated.
+// Transient reports whether a call was interrupted, or failed because this machine was short of a resource that may be
+// available again at any moment. The object of the call is unaffected, and the call may be repeated.
 func Transient(err error) bool {
 	return anyOf(err, unix.EINTR, unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM, unix.ENFILE, unix.EMFILE)
 }
 
-// Local tells that a connection could not be opened for a reason on this machine's side: it says nothing of the other end.
+// Local reports whether a connection could not be opened for a reason on this machine. Such an error says nothing about
+// the other end.
 func Local(err error) bool {
 	return Transient(err) || anyOf(err, unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ENETDOWN, unix.EPERM, unix.EACCES,
-		unix.ENOSPC) // of epoll_ctl: this user watches as many descriptors as the system allows
+		unix.ENOSPC) // from epoll_ctl: the user has reached the system's limit on watched descriptors
 }
 
-// Busy tells that an address could not be listened on just now: this machine lacks something, or a process on its way out
-// still holds the address.
+// Busy reports whether listening on an address failed for now: this machine is short of a resource, or a process that is
+// exiting still uses the address.
 func Busy(err error) bool { return Local(err) || anyOf(err, unix.EADDRINUSE) }
 
-// Storage tells that a file could not be read or written just now. The same call may succeed later.
+// Storage reports whether reading or writing a file failed for now. The same call may succeed later.
 func Storage(err error) bool {
 	return Transient(err) || anyOf(err, unix.EIO, unix.ENOSPC, unix.EDQUOT, unix.EROFS)
 }
 
-func anyOf(err error, list ...unix.Errno) bool {
+// anyOf reports whether the system call error in err's chain is one of errnos.
+func anyOf(err error, errnos ...unix.Errno) bool {
 	var errno unix.Errno
 	if !errors.As(err, &errno) {
 		return false
 	}
-	for _, e := range list {
-		if errno == e {
+	for _, candidate := range errnos {
+		if errno == candidate {
 			return true
 		}
 	}
--- a/internal/syserr/syserr_test.go
+++ b/internal/syserr/syserr_test.go
@@ -13,8 +13,8 @@
 	"golang.org/x/sys/unix"
 )
 
-func TestKinds(t *testing.T) {
-	for _, c := range []struct {
+func TestClassification(t *testing.T) {
+	for _, test := range []struct {
 		err                       error
 		transient, local, storage bool
 	}{
@@ -26,31 +26,32 @@
 		{unix.EIO, false, false, true},
 		{os.NewSyscallError("connect", unix.EADDRNOTAVAIL), false, true, false},
 		{unix.ENETUNREACH, false, true, false},
-		{unix.ECONNREFUSED, false, false, false}, // the other end's word
+		{unix.ECONNREFUSED, false, false, false}, // sent by the other end
 		{unix.ETIMEDOUT, false, false, false},
 		{unix.EHOSTUNREACH, false, false, false},
 		{unix.ECONNRESET, false, false, false},
 		{unix.ENOENT, false, false, false},
 	} {
-		if Transient(c.err) != c.transient || Local(c.err) != c.local || Storage(c.err) != c.storage {
-			t.Errorf("%v: %v %v %v, want %v %v %v", c.err, Transient(c.err), Local(c.err), Storage(c.err), c.transient, c.local, c.storage)
+		if Transient(test.err) != test.transient || Local(test.err) != test.local || Storage(test.err) != test.storage {
+			t.Errorf("%v: %v %v %v, want %v %v %v", test.err, Transient(test.err), Local(test.err), Storage(test.err),
+				test.transient, test.local, test.storage)
 		}
 	}
 }
 
 func TestRetry(t *testing.T) {
-	n := 0
+	calls := 0
 	err := Retry(context.Background(), Transient, func() error {
-		if n++; n < 4 {
+		if calls++; calls < 4 {
 			return unix.EINTR
 		}
 		return nil
 	})
-	if err != nil || n != 4 {
-		t.Errorf("%v after %d calls", err, n)
+	if err != nil || calls != 4 {
+		t.Errorf("%v after %d calls", err, calls)
 	}
 	if err := Retry(context.Background(), Transient, func() error { return io.EOF }); !errors.Is(err, io.EOF) {
-		t.Errorf("%v, want what no further try would mend at once", err)
+		t.Errorf("%v, want an error that is not retryable to be returned at once", err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
@@ -58,18 +59,18 @@
 		t.Errorf("%v, want the last error", err)
 	}
 	if err := Retry(ctx, Transient, func() error { t.Error("called"); return nil }); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("%v, want the context's", err)
+		t.Errorf("%v, want the error of the context", err)
 	}
 }
 
 func TestBackoff(t *testing.T) {
-	var b Backoff
+	var backoff Backoff
 	for _, want := range []time.Duration{1, 2, 4, 8, 16, 32, 50, 50} {
-		if got := b.Next(); got != want*time.Millisecond {
+		if got := backoff.Next(); got != want*time.Millisecond {
 			t.Errorf("%v, want %d ms", got, want)
 		}
 	}
-	if b.Reset(); b.Next() != firstPause {
-		t.Error("it does not begin anew")
+	if backoff.Reset(); backoff.Next() != minPause {
+		t.Error("want the shortest pause after Reset")
 	}
 }
