--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -11,136 +11,140 @@
 	"cometpond/internal/syserr"
 )
 
-// Conn is a connection. Its methods are for its loop's goroutine, unless they say otherwise.
+// Conn is a connection. Unless stated otherwise, its methods may be called only from its loop's goroutine.
 type Conn struct {
-	loop   *Loop
-	fd     int
-	serial int32
-	value  any
-	closed bool
-
-	want, have uint32    // events that are to be watched, and that are
-	added      bool      // to the epoll set
-	since      time.Time // when they could first not be set
-	retrying   bool      // they are about to be set
-
-	out     []byte // what the system has not taken yet
-	waiting bool   // for memory, to write it
+	loop    *Loop
+	fd      int
+	serial  int32
+	context any
+	closed  bool
+
+	wanted, watched  uint32    // events to be watched, and events that are watched
+	inEpollSet       bool      // the descriptor has been added to the epoll set
+	watchFailedSince time.Time // first failure to change the watched events; zero after a success
+	watchScheduled   bool      // a retry of the change is scheduled
+
+	unsent         []byte // bytes of Write that the system has not accepted yet
+	flushScheduled bool   // a retry of the write is scheduled: the system was out of memory
 }
 
-// Loop is the loop that serves the connection. It may be called from any goroutine.
-func (c *Conn) Loop() *Loop { return c.loop }
+// Loop returns the loop that serves the connection. It may be called from any goroutine.
+func (conn *Conn) Loop() *Loop { return conn.loop }
 
-// Context is the value of SetContext or Enroll.
-func (c *Conn) Context() any { return c.value }
+// Context returns the value set by SetContext or Enroll.
+func (conn *Conn) Context() any { return conn.context }
 
-// SetContext keeps a value of the handler's.
-func (c *Conn) SetContext(value any) { c.value = value }
+// SetContext stores a value for the handler.
+func (conn *Conn) SetContext(value any) { conn.context = value }
 
-// Close has the connection closed, soon. It may be called from any goroutine.
-func (c *Conn) Close() { _ = c.loop.Execute(func() { c.loop.close(c, nil) }) }
+// Close schedules the closing of the connection. It may be called from any goroutine.
+func (conn *Conn) Close() { _ = conn.loop.Execute(func() { conn.loop.close(conn, nil) }) }
 
-// watch sets the events that are wanted, now or as soon as the system lets it.
-func (c *Conn) watch() {
-	if c.closed || c.added && c.want == c.have || c.retrying {
+// watch has the system watch the wanted events, and schedules a retry where that fails for now.
+func (conn *Conn) watch() {
+	if conn.closed || conn.inEpollSet && conn.wanted == conn.watched || conn.watchScheduled {
 		return
 	}
 	op := unix.EPOLL_CTL_MOD
-	if !c.added {
+	if !conn.inEpollSet {
 		op = unix.EPOLL_CTL_ADD
 	}
-	err := c.loop.control(op, c.fd, c.want, c.serial)
+	err := conn.loop.control(op, conn.fd, conn.wanted, conn.serial)
 	if err == nil {
-		c.added, c.have, c.since = true, c.want, time.Time{}
+		conn.inEpollSet, conn.watched, conn.watchFailedSince = true, conn.wanted, time.Time{}
 		return
 	}
-	if c.since.IsZero() {
-		c.since = time.Now()
+	if conn.watchFailedSince.IsZero() {
+		conn.watchFailedSince = time.Now()
 	}
-	// ENOSPC: this user watches as many descriptors as the system allows.
-	if passes := syserr.Transient(err) || err == unix.ENOSPC; !passes || time.Since(c.since) > registerFor {
-		c.loop.close(c, fmt.Errorf("%w: %w", errUnwatched, os.NewSyscallError("epoll_ctl", err)))
+	// ENOSPC: the user has reached the system's limit on watched descriptors.
+	if retryable := syserr.Transient(err) || err == unix.ENOSPC; !retryable || time.Since(conn.watchFailedSince) > watchTimeout {
+		conn.loop.close(conn, fmt.Errorf("%w: %w", errUnwatched, os.NewSyscallError("epoll_ctl", err)))
 		return
 	}
-	c.retrying = true
-	if c.loop.unwatched = append(c.loop.unwatched, c); len(c.loop.unwatched) == 1 {
-		c.loop.After(retryPause, c.loop.watchAgain)
+	conn.watchScheduled = true
+	if conn.loop.unwatched = append(conn.loop.unwatched, conn); len(conn.loop.unwatched) == 1 {
+		conn.loop.After(retryPause, conn.loop.retryWatches)
 	}
 }
 
-// event carries out what the system tells of a connection.
-func (c *Conn) event(events uint32) {
+// handleEvents handles events that the system has reported for the connection.
+func (conn *Conn) handleEvents(events uint32) {
 	if events&unix.EPOLLOUT != 0 {
-		c.flush()
+		conn.flush()
 	}
 	ended := events&(unix.EPOLLERR|unix.EPOLLHUP|unix.EPOLLRDHUP) != 0
-	reading := c.want&unix.EPOLLIN != 0
+	reading := conn.wanted&unix.EPOLLIN != 0
 	switch {
-	case c.closed:
-	case ended && (c.loop.group.ends || !reading):
-		c.loop.close(c, c.fault())
-	case reading && (ended || events&unix.EPOLLIN != 0): // one that is broken tells so when it is read
-		c.read()
+	case conn.closed:
+	case ended && (conn.loop.group.endsFirst || !reading):
+		conn.loop.close(conn, conn.endError())
+	case reading && (ended || events&unix.EPOLLIN != 0): // reading a broken connection returns its error
+		conn.read()
 	}
 }
 
-// fault is what broke a connection that is not read, io.EOF if its other end has ended it.
-func (c *Conn) fault() error {
-	if n, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR); err == nil && n != 0 {
+// endError returns the error that broke a connection which is not read, or io.EOF if the other end has closed it.
+func (conn *Conn) endError() error {
+	if n, err := unix.GetsockoptInt(conn.fd, unix.SOL_SOCKET, unix.SO_ERROR); err == nil && n != 0 {
 		return os.NewSyscallError("read", unix.Errno(n))
 	}
 	return io.EOF
 }
 
-func (c *Conn) read() {
-	l := c.loop
-	n, err := unix.Read(c.fd, l.buf)
+// read reads once and hands the data to the handler.
+func (conn *Conn) read() {
+	loop := conn.loop
+	n, err := unix.Read(conn.fd, loop.readBuffer)
 	switch {
-	case err != nil && syserr.Transient(err): // the loop is told again
+	case err != nil && syserr.Transient(err): // the event is reported again
 	case err != nil:
-		l.close(c, os.NewSyscallError("read", err))
+		loop.close(conn, os.NewSyscallError("read", err))
 	case n == 0:
-		l.close(c, io.EOF)
-	case l.group.ends && time.Since(l.wokeAt) > oldEvents && c.hasEnded():
-		l.close(c, c.fault())
+		loop.close(conn, io.EOF)
+	case loop.group.endsFirst && time.Since(loop.wokeAt) > maxEventAge && conn.peerHasEnded():
+		loop.close(conn, conn.endError())
 	default:
-		if l.group.handler.OnData(c, l.buf[:n]) == Close {
-			l.close(c, nil)
+		if loop.group.handler.OnData(conn, loop.readBuffer[:n]) == Close {
+			loop.close(conn, nil)
 		}
 	}
 }
 
-// oldEvents is how old the system's word on a connection may be, until it is asked again whether its other end has ended it.
-const oldEvents = 10 * time.Millisecond
+// maxEventAge is the age of reported events after which the system is asked again whether the other end has closed the
+// connection.
+const maxEventAge = 10 * time.Millisecond
 
-// hasEnded tells whether the other end has ended the connection, or its sending, though bytes lie unread before that.
-func (c *Conn) hasEnded() bool {
-	look := []unix.PollFd{{Fd: int32(c.fd), Events: unix.POLLRDHUP}}
-	n, err := unix.Poll(look, 0)
+// peerHasEnded reports whether the other end has closed the connection or its sending side, even if data sent before that
+// is still unread.
+func (conn *Conn) peerHasEnded() bool {
+	pollFDs := []unix.PollFd{{Fd: int32(conn.fd), Events: unix.POLLRDHUP}}
+	n, err := unix.Poll(pollFDs, 0)
 	return err == nil && n > 0
 }
 
-// PauseReading leaves what comes in unread, so that the other end waits. The connection is closed meanwhile if it breaks,
-// and with Options.EndsFirst at its other end's end.
-func (c *Conn) PauseReading() {
-	c.want &^= unix.EPOLLIN
-	c.watch()
+// PauseReading leaves incoming data unread, so that the other end has to wait. Meanwhile the connection is closed if it
+// breaks and, with Options.EndsFirst, when the other end closes it.
+func (conn *Conn) PauseReading() {
+	conn.wanted &^= unix.EPOLLIN
+	conn.watch()
 }
 
-// ResumeReading takes PauseReading back.
-func (c *Conn) ResumeReading() {
-	c.want |= unix.EPOLLIN
-	c.watch()
+// ResumeReading reverts PauseReading.
+func (conn *Conn) ResumeReading() {
+	conn.wanted |= unix.EPOLLIN
+	conn.watch()
 }
 
-// triesMost bounds how often a call that needs no waiting is made again at once.
-const triesMost = 10
+// maxImmediateAttempts bounds how often a non-blocking call is repeated at once.
+const maxImmediateAttempts = 10
 
-// Unread tells whether something of the other end's lies unread, be it its end. Where the system can't tell, it says yes.
-func (c *Conn) Unread() bool {
-	var one [1]byte
-	for range triesMost {
-		_, _, err := unix.Recvfrom(c.fd, one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+// Unread reports whether data of the other end, or its end of the stream, is waiting to be read. It reports true where the
+// system can't tell.
+func (conn *Conn) Unread() bool {
+	var peeked [1]byte
+	for range maxImmediateAttempts {
+		_, _, err := unix.Recvfrom(conn.fd, peeked[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		switch {
 		case err == unix.EAGAIN:
 			return false
@@ -151,27 +155,27 @@
 	return true
 }
 
-// CloseWrite ends the sending side.
-func (c *Conn) CloseWrite() (err error) {
-	for range triesMost {
-		if err = unix.Shutdown(c.fd, unix.SHUT_WR); !syserr.Transient(err) {
+// CloseWrite shuts down the sending side of the connection.
+func (conn *Conn) CloseWrite() (err error) {
+	for range maxImmediateAttempts {
+		if err = unix.Shutdown(conn.fd, unix.SHUT_WR); !syserr.Transient(err) {
 			break
 		}
 	}
 	return os.NewSyscallError("shutdown", err)
 }
 
-// Send hands the system as much of b as it takes now, and tells how much that was. An error means that the connection is
-// broken.
-func (c *Conn) Send(b []byte) (sent int, err error) {
-	sent, _, err = c.send(b)
+// Send sends as much of data as the system accepts now and returns how many bytes that was. An error means that the
+// connection is broken.
+func (conn *Conn) Send(data []byte) (sent int, err error) {
+	sent, _, err = conn.send(data)
 	return sent, err
 }
 
-// send is Send that also tells whether the system had no memory for it: then nobody tells when it takes more.
-func (c *Conn) send(b []byte) (sent int, short bool, err error) {
-	for sent < len(b) {
-		n, err := unix.Write(c.fd, b[sent:])
+// send is Send that also reports whether the system was out of memory: then no event follows when it accepts more.
+func (conn *Conn) send(data []byte) (sent int, noMemory bool, err error) {
+	for sent < len(data) {
+		n, err := unix.Write(conn.fd, data[sent:])
 		switch {
 		case err == nil:
 			sent += n
@@ -187,51 +191,52 @@
 	return sent, false, nil
 }
 
-// Write sends b, and keeps what the system does not take now until it does. A connection that breaks meanwhile is closed.
-func (c *Conn) Write(b []byte) {
-	if c.closed {
+// Write sends data and buffers what the system does not accept now. The connection is closed if it breaks meanwhile.
+func (conn *Conn) Write(data []byte) {
+	if conn.closed {
 		return
 	}
-	if len(c.out) > 0 {
-		c.out = append(c.out, b...)
+	if len(conn.unsent) > 0 {
+		conn.unsent = append(conn.unsent, data...)
 		return
 	}
-	sent, short, err := c.send(b)
-	c.out = append(c.out, b[sent:]...)
-	c.sent(short, err)
+	sent, noMemory, err := conn.send(data)
+	conn.unsent = append(conn.unsent, data[sent:]...)
+	conn.afterSend(noMemory, err)
 }
 
-// Unsent is how many bytes of Write the system has not taken yet, or never will: it holds in OnClose as well.
-func (c *Conn) Unsent() int { return len(c.out) }
+// Unsent returns the number of bytes of Write that the system has not accepted. It is valid in OnClose as well, where it
+// is the number of bytes that were never accepted.
+func (conn *Conn) Unsent() int { return len(conn.unsent) }
 
-// flush sends on what Write has kept.
-func (c *Conn) flush() {
-	c.waiting = false
-	if c.closed {
+// flush sends what Write has buffered.
+func (conn *Conn) flush() {
+	conn.flushScheduled = false
+	if conn.closed {
 		return
 	}
-	sent, short, err := c.send(c.out)
-	c.out = c.out[:copy(c.out, c.out[sent:])]
-	c.sent(short, err)
+	sent, noMemory, err := conn.send(conn.unsent)
+	conn.unsent = conn.unsent[:copy(conn.unsent, conn.unsent[sent:])]
+	conn.afterSend(noMemory, err)
 }
 
-// sent looks after what is left to be sent.
-func (c *Conn) sent(short bool, err error) {
+// afterSend has the remaining bytes sent later, or closes the connection if sending failed.
+func (conn *Conn) afterSend(noMemory bool, err error) {
 	switch {
 	case err != nil:
-		c.loop.close(c, err)
+		conn.loop.close(conn, err)
 		return
-	case len(c.out) == 0:
-		c.want &^= unix.EPOLLOUT
-		c.out = nil
-	case short:
-		c.want &^= unix.EPOLLOUT // it would be told at once
-		if !c.waiting {
-			c.waiting = true
-			c.loop.After(retryPause, c.flush)
+	case len(conn.unsent) == 0:
+		conn.wanted &^= unix.EPOLLOUT
+		conn.unsent = nil
+	case noMemory:
+		conn.wanted &^= unix.EPOLLOUT // the socket counts as writable, so the event would be reported at once
+		if !conn.flushScheduled {
+			conn.flushScheduled = true
+			conn.loop.After(retryPause, conn.flush)
 		}
 	default:
-		c.want |= unix.EPOLLOUT
+		conn.wanted |= unix.EPOLLOUT
 	}
-	c.watch()
+	conn.watch()
 }
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -16,190 +16,191 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// echo sends back what comes, and keeps what ended its connections.
-type echo struct {
-	mu     sync.Mutex
-	opened int
-	ends   []error
-	onOpen func(c *Conn) Action
-	onData func(c *Conn, data []byte) Action
+// echoHandler sends back what it receives, and records the errors with which its connections ended.
+type echoHandler struct {
+	mu      sync.Mutex
+	opened  int
+	endErrs []error
+	onOpen  func(conn *Conn) Action
+	onData  func(conn *Conn, data []byte) Action
 }
 
-func (e *echo) OnOpen(c *Conn) Action {
-	e.mu.Lock()
-	e.opened++
-	e.mu.Unlock()
-	if e.onOpen != nil {
-		return e.onOpen(c)
+func (handler *echoHandler) OnOpen(conn *Conn) Action {
+	handler.mu.Lock()
+	handler.opened++
+	handler.mu.Unlock()
+	if handler.onOpen != nil {
+		return handler.onOpen(conn)
 	}
 	return None
 }
 
-func (e *echo) OnData(c *Conn, data []byte) Action {
-	if e.onData != nil {
-		return e.onData(c, data)
+func (handler *echoHandler) OnData(conn *Conn, data []byte) Action {
+	if handler.onData != nil {
+		return handler.onData(conn, data)
 	}
-	c.Write(bytes.Clone(data))
+	conn.Write(bytes.Clone(data))
 	return None
 }
 
-func (e *echo) OnClose(_ *Conn, err error) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.ends = append(e.ends, err)
+func (handler *echoHandler) OnClose(_ *Conn, err error) {
+	handler.mu.Lock()
+	defer handler.mu.Unlock()
+	handler.endErrs = append(handler.endErrs, err)
 }
 
-func (e *echo) ended() []error {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return append([]error(nil), e.ends...)
+func (handler *echoHandler) ended() []error {
+	handler.mu.Lock()
+	defer handler.mu.Unlock()
+	return append([]error(nil), handler.endErrs...)
 }
 
-func start(t *testing.T, e *echo, loops int) *Group {
+func start(t *testing.T, handler *echoHandler, loops int) *Group {
 	t.Helper()
-	return startWith(t, e, Options{Loops: loops, Log: zerolog.Nop()})
+	return startWith(t, handler, Options{Loops: loops, Log: zerolog.Nop()})
 }
 
-func startWith(t *testing.T, e *echo, opt Options) *Group {
+func startWith(t *testing.T, handler *echoHandler, opt Options) *Group {
 	t.Helper()
-	g, err := New(e, opt)
+	group, err := New(handler, opt)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := g.Listen(context.Background(), "127.0.0.1:0"); err != nil {
+	if err := group.Listen(context.Background(), "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	return g
+	return group
 }
 
-func dial(t *testing.T, g *Group) net.Conn {
+func dial(t *testing.T, group *Group) net.Conn {
 	t.Helper()
-	c, err := net.Dial("tcp", g.Addr().String())
+	client, err := net.Dial("tcp", group.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
-	t.Cleanup(func() { c.Close() })
-	return c
+	_ = client.SetDeadline(time.Now().Add(20 * time.Second))
+	t.Cleanup(func() { client.Close() })
+	return client
 }
 
-func until(t *testing.T, what string, done func() bool) {
+func waitUntil(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !done(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not in 20 s: %s", what)
+			t.Fatalf("not within 20 s: %s", what)
 		}
 	}
 }
 
-// Many connections over one and several loops, more bytes at once than sockets take, and how each end is told.
-func TestEchoesAndEnds(t *testing.T) {
+// Many connections over one and several loops, with more data at once than a socket accepts. Each kind of end is reported
+// with its own error.
+func TestEchoAndEndErrors(t *testing.T) {
 	for _, loops := range []int{1, 3} {
-		e := &echo{}
-		g := start(t, e, loops)
+		handler := &echoHandler{}
+		group := start(t, handler, loops)
 		text := bytes.Repeat([]byte("0123456789abcdef"), 1<<16)
-		var work sync.WaitGroup
+		var clients sync.WaitGroup
 		for range 10 {
-			c := dial(t, g)
-			work.Add(1)
+			client := dial(t, group)
+			clients.Add(1)
 			go func() {
-				defer work.Done()
-				go func() { _, _ = c.Write(text) }()
+				defer clients.Done()
+				go func() { _, _ = client.Write(text) }()
 				got := make([]byte, len(text))
-				if _, err := io.ReadFull(c, got); err != nil || !bytes.Equal(got, text) {
-					t.Errorf("%v, or not what was sent", err)
+				if _, err := io.ReadFull(client, got); err != nil || !bytes.Equal(got, text) {
+					t.Errorf("error %v, or the data differs from what was sent", err)
 				}
-				c.Close()
+				client.Close()
 			}()
 		}
-		work.Wait()
-		until(t, "all have ended", func() bool { return len(e.ended()) == 10 })
-		broken := dial(t, g)
-		until(t, "it is taken", func() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.opened == 11 })
+		clients.Wait()
+		waitUntil(t, "all connections have ended", func() bool { return len(handler.ended()) == 10 })
+		broken := dial(t, group)
+		waitUntil(t, "it is accepted", func() bool { handler.mu.Lock(); defer handler.mu.Unlock(); return handler.opened == 11 })
 		_ = broken.(*net.TCPConn).SetLinger(0)
 		broken.Close()
-		until(t, "it has ended", func() bool { return len(e.ended()) == 11 })
-		dial(t, g)
-		until(t, "it is taken", func() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.opened == 12 })
-		g.Stop()
-		ends := e.ended()
-		for _, err := range ends[:10] {
+		waitUntil(t, "the connection has ended", func() bool { return len(handler.ended()) == 11 })
+		dial(t, group)
+		waitUntil(t, "it is accepted", func() bool { handler.mu.Lock(); defer handler.mu.Unlock(); return handler.opened == 12 })
+		group.Stop()
+		endErrs := handler.ended()
+		for _, err := range endErrs[:10] {
 			if !errors.Is(err, io.EOF) {
-				t.Errorf("a client's close is told as %v", err)
+				t.Errorf("a close by the client is reported as %v", err)
 			}
 		}
-		if err := ends[10]; err == nil || errors.Is(err, io.EOF) {
-			t.Errorf("a reset is told as %v", err)
+		if err := endErrs[10]; err == nil || errors.Is(err, io.EOF) {
+			t.Errorf("a reset is reported as %v", err)
 		}
-		if !errors.Is(ends[11], ErrStopped) {
-			t.Errorf("the end of the loops is told as %v", ends[11])
+		if !errors.Is(endErrs[11], ErrStopped) {
+			t.Errorf("the end of the loops is reported as %v", endErrs[11])
 		}
-		if g.Loops()[0].Execute(func() {}) == nil {
-			t.Error("a loop that has ended takes something to run")
+		if group.Loops()[0].Execute(func() {}) == nil {
+			t.Error("a loop that has ended accepts a task")
 		}
 	}
 }
 
-// A paused connection is not read, its end is found when it is read again; with EndsFirst it is told at once, with bytes
-// unread before it.
+// A paused connection is not read. Its end is noticed when reading resumes or, with EndsFirst, at once, even with unread
+// data before it.
 func TestPauseReading(t *testing.T) {
-	for _, ends := range []bool{false, true} {
-		got := make(chan string, 10)
+	for _, endsFirst := range []bool{false, true} {
+		received := make(chan string, 10)
 		conns := make(chan *Conn, 10)
-		e := &echo{
-			onOpen: func(c *Conn) Action { conns <- c; return None },
-			onData: func(c *Conn, data []byte) Action {
-				c.PauseReading()
-				got <- string(data)
+		handler := &echoHandler{
+			onOpen: func(conn *Conn) Action { conns <- conn; return None },
+			onData: func(conn *Conn, data []byte) Action {
+				conn.PauseReading()
+				received <- string(data)
 				return None
 			},
 		}
-		g := startWith(t, e, Options{EndsFirst: ends, Log: zerolog.Nop()})
-		client := dial(t, g)
-		c := <-conns
+		group := startWith(t, handler, Options{EndsFirst: endsFirst, Log: zerolog.Nop()})
+		client := dial(t, group)
+		conn := <-conns
 		_, _ = client.Write([]byte("one"))
-		if s := <-got; s != "one" {
-			t.Fatal(s)
+		if text := <-received; text != "one" {
+			t.Fatal(text)
 		}
 		_, _ = client.Write([]byte("two"))
 		_ = client.(*net.TCPConn).CloseWrite()
-		if ends {
-			until(t, "its end is told", func() bool { return len(e.ended()) == 1 })
-			if len(got) > 0 {
-				t.Error("read while it was paused")
+		if endsFirst {
+			waitUntil(t, "the end is reported", func() bool { return len(handler.ended()) == 1 })
+			if len(received) > 0 {
+				t.Error("read while paused")
 			}
 		} else {
 			time.Sleep(50 * time.Millisecond)
-			if len(got) > 0 || len(e.ended()) > 0 {
-				t.Fatal("read while it was paused")
+			if len(received) > 0 || len(handler.ended()) > 0 {
+				t.Fatal("read while paused")
 			}
-			_ = c.Loop().Execute(c.ResumeReading)
-			if s := <-got; s != "two" {
-				t.Fatal(s)
+			_ = conn.Loop().Execute(conn.ResumeReading)
+			if text := <-received; text != "two" {
+				t.Fatal(text)
 			}
-			_ = c.Loop().Execute(c.ResumeReading)
-			until(t, "its end is read", func() bool { return len(e.ended()) == 1 })
+			_ = conn.Loop().Execute(conn.ResumeReading)
+			waitUntil(t, "the end is read", func() bool { return len(handler.ended()) == 1 })
 		}
-		if err := e.ended()[0]; !errors.Is(err, io.EOF) {
-			t.Errorf("its end is told as %v", err)
+		if err := handler.ended()[0]; !errors.Is(err, io.EOF) {
+			t.Errorf("the end is reported as %v", err)
 		}
-		g.Stop()
+		group.Stop()
 	}
 }
 
-// An address that cannot be had is an error, at the latest when the context is over.
-func TestListenGivesUp(t *testing.T) {
-	e := &echo{}
-	g := start(t, e, 1)
-	defer g.Stop()
-	other, err := New(e, Options{Log: zerolog.Nop()})
+// Listening on an address in use fails, at the latest when the context is done.
+func TestListenOnAddressInUse(t *testing.T) {
+	handler := &echoHandler{}
+	group := start(t, handler, 1)
+	defer group.Stop()
+	other, err := New(handler, Options{Log: zerolog.Nop()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer other.Stop()
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	if err := other.Listen(ctx, g.Addr().String()); err == nil {
-		t.Error("two listen on one address")
+	if err := other.Listen(ctx, group.Addr().String()); err == nil {
+		t.Error("two groups listen on one address")
 	}
 }
--- a/internal/eventloop/group.go
+++ b/internal/eventloop/group.go
@@ -1,8 +1,8 @@
-// Package eventloop serves TCP connections on epoll: a few goroutines, each with many connections. An error concerns no
-// more than the call that met it. A call that failed for a moment is made again; what is broken ends the one connection
-// that is broken; a loop ends by Stop alone.
+// Package eventloop serves TCP connections with epoll: a few goroutines, each of them an event loop with many
+// connections. An error affects only the call that met it. A call that failed for a temporary reason is repeated, a broken
+// connection is closed alone, and a loop ends only by Stop.
 //
-// All of a connection's callbacks run in its loop's goroutine, one after the other.
+// All callbacks of a connection run in its loop's goroutine, one after the other.
 package eventloop
 
 import (
@@ -27,143 +27,144 @@
 
 // The actions.
 const (
-	None  Action = iota
-	Close        // the connection is closed at once, and OnClose called
+	None  Action = iota // the connection stays open
+	Close               // the connection is closed at once, and OnClose is called
 )
 
-// Handler takes what happens on connections. Its methods must not block.
+// Handler handles the events of connections. Its methods must not block.
 type Handler interface {
-	// OnOpen takes a connection in.
-	OnOpen(c *Conn) Action
-	// OnData takes what has come in. Data lasts until it returns.
-	OnData(c *Conn, data []byte) Action
-	// OnClose is the last that is heard of a connection; its descriptor is open until it returns. Err is nil where this end
-	// closed it, io.EOF where the other end did, ErrStopped where the loops end, and else what broke it.
-	OnClose(c *Conn, err error)
+	// OnOpen is called when a connection has been opened.
+	OnOpen(conn *Conn) Action
+	// OnData is called with data that was read. The data is valid until OnData returns.
+	OnData(conn *Conn, data []byte) Action
+	// OnClose is called last for a connection; its descriptor is open until OnClose returns. The error is nil if this end
+	// closed the connection, io.EOF if the other end did, ErrStopped if the loops end, and otherwise what broke it.
+	OnClose(conn *Conn, err error)
 }
 
-// ErrStopped tells that the loops have ended or are about to.
+// ErrStopped is the error of calls on event loops that have stopped or are about to.
 var ErrStopped = errors.New("event loops have stopped")
 
 // Options are the settings of a Group.
 type Options struct {
-	Loops      int // 1 at least
-	ReadBuffer int // bytes that are read at once, 0 for 64 kB
-	// EndsFirst has a connection closed as soon as its other end has ended it, or its sending: what lies unread before that
-	// end is thrown away. Otherwise it is read first.
+	Loops      int // at least 1
+	ReadBuffer int // maximum bytes per read; 0: 64 kB
+	// EndsFirst closes a connection as soon as the other end has closed it or its sending side, and discards what is
+	// still unread by then. Otherwise the unread data is read first.
 	EndsFirst bool
 	Log       zerolog.Logger
 }
 
-const readBuffer = 64 << 10
+const defaultReadBuffer = 64 << 10 // bytes
 
-// Group is a number of event loops that share a listener, or connections that are enrolled.
+// Group is a number of event loops that share a listener, or connections added by Enroll.
 type Group struct {
-	handler Handler
-	log     zerolog.Logger // for what may come in masses: so many lines a second
-	ends    bool           // see Options.EndsFirst
-	loops   []*Loop
-	turn    atomic.Uint32
-	ended   sync.WaitGroup
-	addr    net.Addr
+	handler   Handler
+	log       zerolog.Logger // limited to maxLogsPerSecond, as many connections may fail at the same time
+	endsFirst bool           // Options.EndsFirst
+	loops     []*Loop
+	nextLoop  atomic.Uint32
+	running   sync.WaitGroup // the loops' goroutines
+	addr      net.Addr
 }
 
-// warnMost bounds the lines a second about single connections.
-const warnMost = 5
+// maxLogsPerSecond bounds the log lines about single connections.
+const maxLogsPerSecond = 5
 
-// startFor is how long New waits for what the system is short of.
-const startFor = 2 * time.Second
+// startTimeout is how long New waits for resources that the system is short of.
+const startTimeout = 2 * time.Second
 
-// New starts loops without connections.
-func New(h Handler, opt Options) (*Group, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), startFor)
+// New starts event loops without connections.
+func New(handler Handler, opt Options) (*Group, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
-	g := &Group{handler: h, ends: opt.EndsFirst, log: opt.Log.Sample(&zerolog.BurstSampler{Burst: warnMost, Period: time.Second})}
-	size := opt.ReadBuffer
-	if size <= 0 {
-		size = readBuffer
+	group := &Group{handler: handler, endsFirst: opt.EndsFirst,
+		log: opt.Log.Sample(&zerolog.BurstSampler{Burst: maxLogsPerSecond, Period: time.Second})}
+	bufferSize := opt.ReadBuffer
+	if bufferSize <= 0 {
+		bufferSize = defaultReadBuffer
 	}
 	for range max(1, opt.Loops) {
-		var l *Loop
+		var loop *Loop
 		err := syserr.Retry(ctx, syserr.Transient, func() (err error) {
-			l, err = newLoop(g, size)
+			loop, err = newLoop(group, bufferSize)
 			return err
 		})
 		if err != nil {
-			for _, o := range g.loops {
-				o.release()
+			for _, created := range group.loops {
+				created.release()
 			}
 			return nil, fmt.Errorf("event loop: %w", err)
 		}
-		g.loops = append(g.loops, l)
+		group.loops = append(group.loops, loop)
 	}
-	for _, l := range g.loops {
-		g.ended.Add(1)
+	for _, loop := range group.loops {
+		group.running.Add(1)
 		go func() {
-			defer g.ended.Done()
-			l.run()
+			defer group.running.Done()
+			loop.run()
 		}()
 	}
-	return g, nil
+	return group, nil
 }
 
-// Loops are the loops of the group.
-func (g *Group) Loops() []*Loop { return g.loops }
+// Loops returns the loops of the group.
+func (group *Group) Loops() []*Loop { return group.loops }
 
-// Addr is where the group listens, nil if it does not.
-func (g *Group) Addr() net.Addr { return g.addr }
+// Addr returns the address on which the group listens, or nil if it does not.
+func (group *Group) Addr() net.Addr { return group.addr }
 
 // next returns the loop for a new connection.
-func (g *Group) next() *Loop {
-	if len(g.loops) == 1 {
-		return g.loops[0]
+func (group *Group) next() *Loop {
+	if len(group.loops) == 1 {
+		return group.loops[0]
 	}
-	return g.loops[int(g.turn.Add(1))%len(g.loops)]
+	return group.loops[int(group.nextLoop.Add(1))%len(group.loops)]
 }
 
-// Listen has the group take connections at host:port; port 0 takes a free one. It may be called once. What is wanting
-// for a moment is waited for, and so is an address that a process on its way out still holds, until ctx is over.
-func (g *Group) Listen(ctx context.Context, addr string) error {
-	at, err := net.ResolveTCPAddr("tcp", addr)
+// Listen has the group accept connections at host:port; port 0 selects a free port. It may be called once. Until ctx is
+// done it waits for resources that the system is short of, and for an address that an exiting process still uses.
+func (group *Group) Listen(ctx context.Context, addr string) error {
+	tcpAddress, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
 		return err
 	}
 	var fd int
 	err = syserr.Retry(ctx, syserr.Busy, func() error {
-		fd, g.addr, err = listen(at)
+		fd, group.addr, err = listen(tcpAddress)
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	l := g.loops[0]
-	if err := l.Execute(func() { l.listen(fd) }); err != nil {
+	loop := group.loops[0]
+	if err := loop.Execute(func() { loop.listen(fd) }); err != nil {
 		unix.Close(fd)
 		return err
 	}
 	return nil
 }
 
-// Enroll has a loop of the group serve a connection, with a value that its Context will return. The connection that is
-// given is closed in any case.
-func (g *Group) Enroll(c net.Conn, value any) error {
-	defer c.Close()
-	s, is := c.(syscall.Conn)
-	if !is {
-		return fmt.Errorf("%T has no descriptor", c)
+// Enroll has a loop of the group serve a connection, with a value that its Context method will return. The loop uses a
+// duplicate of the descriptor; netConn itself is closed in any case.
+func (group *Group) Enroll(netConn net.Conn, value any) error {
+	defer netConn.Close()
+	syscallConn, ok := netConn.(syscall.Conn)
+	if !ok {
+		return fmt.Errorf("%T has no file descriptor", netConn)
 	}
-	raw, err := s.SyscallConn()
+	rawConn, err := syscallConn.SyscallConn()
 	if err != nil {
 		return err
 	}
 	fd := -1
-	if e := raw.Control(func(own uintptr) { fd, err = unix.FcntlInt(own, unix.F_DUPFD_CLOEXEC, 0) }); e != nil {
-		return e
+	if controlErr := rawConn.Control(func(own uintptr) { fd, err = unix.FcntlInt(own, unix.F_DUPFD_CLOEXEC, 0) }); controlErr != nil {
+		return controlErr
 	} else if err != nil {
 		return os.NewSyscallError("fcntl", err)
 	}
-	l := g.next()
-	if err := l.Execute(func() { l.adopt(fd, value) }); err != nil {
+	loop := group.next()
+	if err := loop.Execute(func() { loop.adopt(fd, value) }); err != nil {
 		unix.Close(fd)
 		return err
 	}
@@ -171,32 +172,32 @@
 }
 
 // Stop closes the listener and all connections, and returns when the loops have ended.
-func (g *Group) Stop() {
-	for _, l := range g.loops {
-		l.stop()
+func (group *Group) Stop() {
+	for _, loop := range group.loops {
+		loop.stop()
 	}
-	g.ended.Wait()
+	group.running.Wait()
 }
 
-// Backlog and keep-alive of a listener; its connections inherit the latter. Times are in seconds.
+// Backlog of a listener, and the TCP keep-alive settings that its connections inherit. Times are in seconds.
 const (
-	backlog       = unix.SOMAXCONN
-	keepIdleS     = 120
-	keepIntervalS = 24
-	keepProbes    = 5
+	backlog            = unix.SOMAXCONN
+	keepAliveIdleS     = 120
+	keepAliveIntervalS = 24
+	keepAliveProbes    = 5
 )
 
-// listen opens a listening socket, and tells its address.
-func listen(at *net.TCPAddr) (fd int, addr net.Addr, err error) {
-	family, name := unix.AF_INET6, unix.Sockaddr(nil)
-	if ip := at.IP.To4(); ip != nil || len(at.IP) == 0 {
-		four := &unix.SockaddrInet4{Port: at.Port}
-		copy(four.Addr[:], ip)
-		family, name = unix.AF_INET, four
+// listen opens a listening socket and returns its address.
+func listen(requested *net.TCPAddr) (fd int, addr net.Addr, err error) {
+	family, sockaddr := unix.AF_INET6, unix.Sockaddr(nil)
+	if ip := requested.IP.To4(); ip != nil || len(requested.IP) == 0 {
+		inet4 := &unix.SockaddrInet4{Port: requested.Port}
+		copy(inet4.Addr[:], ip)
+		family, sockaddr = unix.AF_INET, inet4
 	} else {
-		six := &unix.SockaddrInet6{Port: at.Port}
-		copy(six.Addr[:], at.IP)
-		name = six
+		inet6 := &unix.SockaddrInet6{Port: requested.Port}
+		copy(inet6.Addr[:], requested.IP)
+		sockaddr = inet6
 	}
 	if fd, err = unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0); err != nil {
 		return -1, nil, os.NewSyscallError("socket", err)
@@ -208,31 +209,32 @@
 	}()
 	for _, o := range []struct{ level, option, value int }{
 		{unix.SOL_SOCKET, unix.SO_REUSEADDR, 1}, {unix.IPPROTO_TCP, unix.TCP_NODELAY, 1}, {unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1},
-		{unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, keepIdleS}, {unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, keepIntervalS},
-		{unix.IPPROTO_TCP, unix.TCP_KEEPCNT, keepProbes},
+		{unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, keepAliveIdleS}, {unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, keepAliveIntervalS},
+		{unix.IPPROTO_TCP, unix.TCP_KEEPCNT, keepAliveProbes},
 	} {
 		if err = unix.SetsockoptInt(fd, o.level, o.option, o.value); err != nil {
 			return -1, nil, os.NewSyscallError("setsockopt", err)
 		}
 	}
-	if err = unix.Bind(fd, name); err != nil {
+	if err = unix.Bind(fd, sockaddr); err != nil {
 		return -1, nil, os.NewSyscallError("bind", err)
 	}
 	if err = unix.Listen(fd, backlog); err != nil {
 		return -1, nil, os.NewSyscallError("listen", err)
 	}
-	if name, err = unix.Getsockname(fd); err != nil {
+	if sockaddr, err = unix.Getsockname(fd); err != nil {
 		return -1, nil, os.NewSyscallError("getsockname", err)
 	}
-	return fd, tcpAddr(name), nil
+	return fd, tcpAddr(sockaddr), nil
 }
 
-func tcpAddr(name unix.Sockaddr) net.Addr {
-	switch a := name.(type) {
+// tcpAddr converts an address of a socket; nil if it is not an internet address.
+func tcpAddr(sockaddr unix.Sockaddr) net.Addr {
+	switch addr := sockaddr.(type) {
 	case *unix.SockaddrInet4:
-		return &net.TCPAddr{IP: append(net.IP(nil), a.Addr[:]...), Port: a.Port}
+		return &net.TCPAddr{IP: append(net.IP(nil), addr.Addr[:]...), Port: addr.Port}
 	case *unix.SockaddrInet6:
-		return &net.TCPAddr{IP: append(net.IP(nil), a.Addr[:]...), Port: a.Port}
+		return &net.TCPAddr{IP: append(net.IP(nil), addr.Addr[:]...), Port: addr.Port}
 	}
 	return nil
 }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -13,301 +13,312 @@
 	"cometpond/internal/syserr"
 )
 
-// Times of tries after errors that pass.
+// Times of retries after temporary errors.
 const (
-	retryPause      = time.Millisecond // of a write or a registration that the system had no memory for
-	registerFor     = time.Second      // a connection that can't be watched for so long is closed
-	brokenWaitPause = time.Millisecond // after an error of epoll_wait that no page tells of
+	retryPause     = time.Millisecond // before a write or a change of watched events is retried
+	watchTimeout   = time.Second      // a connection whose events can't be watched for so long is closed
+	epollWaitPause = time.Millisecond // after an error of epoll_wait that its manual page does not list
 )
 
+// The number of events that one call of epoll_wait can return. It doubles when a call returns that many.
 const (
-	firstEvents = 128
-	mostEvents  = 1024
+	initialEvents = 128
+	maxEvents     = 1024
 )
 
-// watched is what an entry in the epoll set stands for. Connections count from firstSerial, each with a number of its
-// own: an event of one that has been closed is not taken for its successor's on the same descriptor.
+// Serial numbers of entries in the epoll set. Each connection has its own, starting at firstSerial: so an event of a
+// closed connection is not taken for one of a later connection with the same descriptor. The serial is kept in the Pad field of
+// the event, the half of epoll_data that the descriptor leaves free.
 const (
 	wakeSerial     = 0
 	listenerSerial = 1
 	firstSerial    = 2
 )
 
-// Loop is one event loop. Its methods may be called from any goroutine, unless they say otherwise.
+// Loop is one event loop. Unless stated otherwise, its methods may be called from any goroutine.
 type Loop struct {
-	group *Group
-	epoll int
-	wake  int // eventfd
-	buf   []byte
+	group      *Group
+	epollFD    int
+	wakeFD     int // an eventfd
+	readBuffer []byte
 
-	wokeAt time.Time // when the system last told of events
+	wokeAt time.Time // when the system last reported events
 
-	// The loop's goroutine alone uses these.
-	conns       []*Conn // by descriptor
-	open        int
-	serial      int32
-	unwatched   []*Conn // whose events could not be set
-	listener    int     // 0: none
-	acceptPause syserr.Backoff
+	// These are used only by the loop's goroutine.
+	conns         []*Conn // by descriptor
+	open          int
+	nextSerial    int32
+	unwatched     []*Conn // whose events could not be set
+	listenerFD    int     // 0: none
+	acceptBackoff syserr.Backoff
 
-	mu      sync.Mutex
-	tasks   []func()
-	spare   []func()
-	woken   bool
-	ending  bool
-	stopped bool
+	mu          sync.Mutex
+	tasks       []func()
+	spareTasks  []func() // the emptied previous list, for reuse
+	wakePending bool     // wakeFD was signalled since tasks were last taken
+	stopping    bool
+	stopped     bool
 }
 
-func newLoop(g *Group, size int) (*Loop, error) {
-	l := &Loop{group: g, buf: make([]byte, size), serial: firstSerial}
+func newLoop(group *Group, bufferSize int) (*Loop, error) {
+	loop := &Loop{group: group, readBuffer: make([]byte, bufferSize), nextSerial: firstSerial}
 	var err error
-	if l.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
+	if loop.epollFD, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
 		return nil, os.NewSyscallError("epoll_create1", err)
 	}
-	if l.wake, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err != nil {
-		unix.Close(l.epoll)
+	if loop.wakeFD, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err != nil {
+		unix.Close(loop.epollFD)
 		return nil, os.NewSyscallError("eventfd", err)
 	}
-	// Edge-triggered: each write wakes the loop, and nothing needs to be read.
-	if err = l.control(unix.EPOLL_CTL_ADD, l.wake, unix.EPOLLIN|unix.EPOLLET, wakeSerial); err != nil {
-		l.release()
+	// Edge-triggered: each write wakes the loop, and the counter need not be read.
+	if err = loop.control(unix.EPOLL_CTL_ADD, loop.wakeFD, unix.EPOLLIN|unix.EPOLLET, wakeSerial); err != nil {
+		loop.release()
 		return nil, os.NewSyscallError("epoll_ctl", err)
 	}
-	return l, nil
+	return loop, nil
 }
 
-func (l *Loop) release() {
-	unix.Close(l.wake)
-	unix.Close(l.epoll)
+// release closes the loop's own descriptors.
+func (loop *Loop) release() {
+	unix.Close(loop.wakeFD)
+	unix.Close(loop.epollFD)
 }
 
-func (l *Loop) control(op, fd int, events uint32, serial int32) error {
+// control calls epoll_ctl, again after an interruption.
+func (loop *Loop) control(op, fd int, events uint32, serial int32) error {
 	for {
-		err := unix.EpollCtl(l.epoll, op, fd, &unix.EpollEvent{Fd: int32(fd), Events: events, Pad: serial})
+		err := unix.EpollCtl(loop.epollFD, op, fd, &unix.EpollEvent{Fd: int32(fd), Events: events, Pad: serial})
 		if err != unix.EINTR {
 			return err
 		}
 	}
 }
 
-// Execute runs f in the loop's goroutine, soon and in the order of the calls; ErrStopped if it never will.
-func (l *Loop) Execute(f func()) error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.stopped {
+// Execute schedules task to run in the loop's goroutine, in the order of the calls. It returns ErrStopped if the task will
+// never run.
+func (loop *Loop) Execute(task func()) error {
+	loop.mu.Lock()
+	defer loop.mu.Unlock()
+	if loop.stopped {
 		return ErrStopped
 	}
-	l.tasks = append(l.tasks, f)
-	l.signal()
+	loop.tasks = append(loop.tasks, task)
+	loop.signal()
 	return nil
 }
 
-// After has the loop run f after a while, unless it stops before.
-func (l *Loop) After(wait time.Duration, f func()) {
-	time.AfterFunc(wait, func() { _ = l.Execute(f) })
+// After schedules task to run in the loop's goroutine after a delay, unless the loop stops before.
+func (loop *Loop) After(delay time.Duration, task func()) {
+	time.AfterFunc(delay, func() { _ = loop.Execute(task) })
 }
 
-// signal wakes the loop. Its lock is held. A wake-up that is lost would never be made up for: it is tried until it is made.
-func (l *Loop) signal() {
-	if l.woken {
+// signal wakes the loop. The caller holds the loop's lock. It repeats the write until it succeeds, because nothing else
+// would make up for a lost wake-up.
+func (loop *Loop) signal() {
+	if loop.wakePending {
 		return
 	}
-	l.woken = true
+	loop.wakePending = true
 	one := [8]byte{1}
 	for {
-		switch _, err := unix.Write(l.wake, one[:]); err {
+		switch _, err := unix.Write(loop.wakeFD, one[:]); err {
 		case nil:
 			return
 		case unix.EAGAIN: // the counter is full
-			var count [8]byte
-			_, _ = unix.Read(l.wake, count[:])
+			var counter [8]byte
+			_, _ = unix.Read(loop.wakeFD, counter[:])
 		}
 		runtime.Gosched()
 	}
 }
 
-func (l *Loop) stop() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.ending = true
-	if !l.stopped {
-		l.signal()
+// stop asks the loop to end.
+func (loop *Loop) stop() {
+	loop.mu.Lock()
+	defer loop.mu.Unlock()
+	loop.stopping = true
+	if !loop.stopped {
+		loop.signal()
 	}
 }
 
-// run serves until stop.
-func (l *Loop) run() {
-	events := make([]unix.EpollEvent, firstEvents)
-	wait := -1
+// run handles events and tasks until stop is called.
+func (loop *Loop) run() {
+	events := make([]unix.EpollEvent, initialEvents)
+	timeout := -1
 	for {
-		n, err := unix.EpollWait(l.epoll, events, wait)
+		n, err := unix.EpollWait(loop.epollFD, events, timeout)
 		if n <= 0 {
 			if err != nil && err != unix.EINTR {
-				l.group.log.Error().Err(os.NewSyscallError("epoll_wait", err)).Msg("wait for events failed, trying again")
-				time.Sleep(brokenWaitPause)
+				loop.group.log.Error().Err(os.NewSyscallError("epoll_wait", err)).Msg("waiting for events failed; retrying")
+				time.Sleep(epollWaitPause)
 			}
-			wait = -1
-			runtime.Gosched() // others may have something for this loop before it sleeps
+			timeout = -1
+			runtime.Gosched() // other goroutines may have tasks for this loop before it blocks
 			continue
 		}
-		wait = 0
-		l.wokeAt = time.Now()
-		for _, e := range events[:n] {
-			l.event(e)
+		timeout = 0
+		loop.wokeAt = time.Now()
+		for _, event := range events[:n] {
+			loop.handleEvent(event)
 		}
-		if l.runTasks() {
+		if loop.runTasks() {
 			break
 		}
-		if n == len(events) && n < mostEvents {
+		if n == len(events) && n < maxEvents {
 			events = make([]unix.EpollEvent, 2*n)
 		}
 	}
-	l.end()
+	loop.shutdown()
 }
 
-func (l *Loop) event(e unix.EpollEvent) {
-	switch e.Pad {
+// handleEvent passes an event to the listener or to its connection.
+func (loop *Loop) handleEvent(event unix.EpollEvent) {
+	switch event.Pad {
 	case wakeSerial: // runTasks follows in any case
 	case listenerSerial:
-		l.accept()
+		loop.accept()
 	default:
-		if c := l.conns[e.Fd]; c != nil && c.serial == e.Pad {
-			c.event(e.Events)
+		if conn := loop.conns[event.Fd]; conn != nil && conn.serial == event.Pad {
+			conn.handleEvents(event.Events)
 		}
 	}
 }
 
-// runTasks runs what has been handed in; true once the loop is to end.
-func (l *Loop) runTasks() (ends bool) {
-	l.mu.Lock()
-	list, ending := l.tasks, l.ending
-	l.tasks, l.spare, l.woken = l.spare[:0], nil, false
-	l.mu.Unlock()
-	for i, f := range list {
-		f()
-		list[i] = nil
+// runTasks runs the scheduled tasks and reports whether the loop is to end.
+func (loop *Loop) runTasks() (stopping bool) {
+	loop.mu.Lock()
+	tasks, stopRequested := loop.tasks, loop.stopping
+	loop.tasks, loop.spareTasks, loop.wakePending = loop.spareTasks[:0], nil, false
+	loop.mu.Unlock()
+	for i, task := range tasks {
+		task()
+		tasks[i] = nil
 	}
-	l.mu.Lock()
-	l.spare = list[:0]
-	l.mu.Unlock()
-	return ending
+	loop.mu.Lock()
+	loop.spareTasks = tasks[:0]
+	loop.mu.Unlock()
+	return stopRequested
 }
 
-// end closes all that the loop has.
-func (l *Loop) end() {
+// shutdown runs the remaining tasks and closes all descriptors of the loop.
+func (loop *Loop) shutdown() {
 	for {
-		l.mu.Lock()
-		if l.stopped = len(l.tasks) == 0; l.stopped {
-			l.mu.Unlock()
+		loop.mu.Lock()
+		if loop.stopped = len(loop.tasks) == 0; loop.stopped {
+			loop.mu.Unlock()
 			break
 		}
-		l.mu.Unlock()
-		l.runTasks()
+		loop.mu.Unlock()
+		loop.runTasks()
 	}
-	for _, c := range l.conns {
-		if c != nil {
-			l.close(c, ErrStopped)
+	for _, conn := range loop.conns {
+		if conn != nil {
+			loop.close(conn, ErrStopped)
 		}
 	}
-	if l.listener > 0 {
-		unix.Close(l.listener)
+	if loop.listenerFD > 0 {
+		unix.Close(loop.listenerFD)
 	}
-	l.release()
+	loop.release()
 }
 
-// listen has the loop take connections from a listening socket.
-func (l *Loop) listen(fd int) {
-	l.listener = fd
-	l.watchListener(unix.EPOLL_CTL_ADD)
+// listen has the loop accept connections from a listening socket.
+func (loop *Loop) listen(fd int) {
+	loop.listenerFD = fd
+	loop.watchListener(unix.EPOLL_CTL_ADD)
 }
 
-// watchListener has the loop look at its listener, now or as soon as that can be done.
-func (l *Loop) watchListener(op int) {
-	if err := l.control(op, l.listener, unix.EPOLLIN, listenerSerial); err != nil {
-		l.group.log.Warn().Err(os.NewSyscallError("epoll_ctl", err)).Msg("the listener can't be watched, trying again")
-		l.After(retryPause, func() { l.watchListener(op) })
+// watchListener has the system watch the listener, and retries until that succeeds.
+func (loop *Loop) watchListener(op int) {
+	if err := loop.control(op, loop.listenerFD, unix.EPOLLIN, listenerSerial); err != nil {
+		loop.group.log.Warn().Err(os.NewSyscallError("epoll_ctl", err)).Msg("watching the listener failed; retrying")
+		loop.After(retryPause, func() { loop.watchListener(op) })
 	}
 }
 
-// accept takes one connection; the loop comes back for more.
-func (l *Loop) accept() {
-	// Not by x/sys, which asks for the protocol as well, and closes the connection if that fails.
-	fd, _, err := syscall.Accept4(l.listener, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
+// accept accepts one connection. If more are waiting, the event is reported again.
+func (loop *Loop) accept() {
+	// unix.Accept4 is not used: it also asks for the protocol of the socket, and closes the connection if that fails.
+	fd, _, err := syscall.Accept4(loop.listenerFD, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 	switch {
 	case err == nil:
-		l.acceptPause.Reset()
-		l.assign(fd)
+		loop.acceptBackoff.Reset()
+		loop.assign(fd)
 	case err == unix.EAGAIN || err == unix.EINTR:
 	case syserr.Transient(err):
-		l.pauseAccept(err)
+		loop.pauseAccept(err)
 	default:
-		// Linux hands on errors of the network that concern the connection that was to be taken: the next one may be well.
-		l.group.log.Warn().Err(os.NewSyscallError("accept4", err)).Msg("a connection could not be taken")
+		// On Linux, accept4 also returns network errors of the connection to be accepted. The next one may be unaffected.
+		loop.group.log.Warn().Err(os.NewSyscallError("accept4", err)).Msg("accepting a connection failed")
 	}
 }
 
-// pauseAccept leaves the listener alone for a while: what a connection takes of this machine is short.
-func (l *Loop) pauseAccept(err error) {
-	pause := l.acceptPause.Next()
-	l.group.log.Warn().Err(os.NewSyscallError("accept4", err)).Dur("pause_ms", pause).Msg("no connections can be taken for now")
-	if l.control(unix.EPOLL_CTL_MOD, l.listener, 0, listenerSerial) == nil {
-		l.After(pause, func() { l.watchListener(unix.EPOLL_CTL_MOD) })
+// pauseAccept stops accepting connections for a while, after an error caused by a shortage of resources on this machine.
+func (loop *Loop) pauseAccept(err error) {
+	pause := loop.acceptBackoff.Next()
+	loop.group.log.Warn().Err(os.NewSyscallError("accept4", err)).Dur("pause_ms", pause).
+		Msg("out of resources to accept connections; pausing")
+	if loop.control(unix.EPOLL_CTL_MOD, loop.listenerFD, 0, listenerSerial) == nil {
+		loop.After(pause, func() { loop.watchListener(unix.EPOLL_CTL_MOD) })
 	}
 }
 
-// assign gives a new connection to a loop.
-func (l *Loop) assign(fd int) {
-	to := l.group.next()
-	if to == l {
-		l.adopt(fd, nil)
-	} else if err := to.Execute(func() { to.adopt(fd, nil) }); err != nil {
+// assign gives a new connection to a loop of the group.
+func (loop *Loop) assign(fd int) {
+	target := loop.group.next()
+	if target == loop {
+		loop.adopt(fd, nil)
+	} else if err := target.Execute(func() { target.adopt(fd, nil) }); err != nil {
 		unix.Close(fd)
 	}
 }
 
-// adopt takes a connection in, in the loop's goroutine.
-func (l *Loop) adopt(fd int, value any) {
-	c := &Conn{loop: l, fd: fd, serial: l.serial, value: value, want: unix.EPOLLIN}
-	if l.group.ends {
-		c.want |= unix.EPOLLRDHUP
+// adopt starts serving a connection. It runs in the loop's goroutine.
+func (loop *Loop) adopt(fd int, value any) {
+	conn := &Conn{loop: loop, fd: fd, serial: loop.nextSerial, context: value, wanted: unix.EPOLLIN}
+	if loop.group.endsFirst {
+		conn.wanted |= unix.EPOLLRDHUP
 	}
-	if l.serial++; l.serial < firstSerial {
-		l.serial = firstSerial
+	if loop.nextSerial++; loop.nextSerial < firstSerial {
+		loop.nextSerial = firstSerial
 	}
-	for len(l.conns) <= fd {
-		l.conns = append(l.conns, nil)
+	for len(loop.conns) <= fd {
+		loop.conns = append(loop.conns, nil)
 	}
-	l.conns[fd] = c
-	l.open++
-	if l.group.handler.OnOpen(c) == Close {
-		l.close(c, nil)
+	loop.conns[fd] = conn
+	loop.open++
+	if loop.group.handler.OnOpen(conn) == Close {
+		loop.close(conn, nil)
 	}
-	c.watch()
+	conn.watch()
 }
 
-// Close closes a connection of this loop at once, in its goroutine; one that is closed already stays so.
-func (l *Loop) Close(c *Conn) { l.close(c, nil) }
+// Close closes a connection of this loop at once; it does nothing if the connection is closed already. It must be called
+// from the loop's goroutine.
+func (loop *Loop) Close(conn *Conn) { loop.close(conn, nil) }
 
-func (l *Loop) close(c *Conn, err error) {
-	if c.closed {
+// close closes a connection and reports err to OnClose.
+func (loop *Loop) close(conn *Conn, err error) {
+	if conn.closed {
 		return
 	}
-	c.closed = true
-	l.conns[c.fd] = nil
-	l.open--
-	l.group.handler.OnClose(c, err)
-	unix.Close(c.fd) // which takes it out of the epoll set; the descriptor is free whatever it returns
-	c.out = nil
+	conn.closed = true
+	loop.conns[conn.fd] = nil
+	loop.open--
+	loop.group.handler.OnClose(conn, err)
+	unix.Close(conn.fd) // removes it from the epoll set too; whatever close returns, the descriptor is free
+	conn.unsent = nil
 }
 
-// watchAgain tries once more to set the events of connections for which that failed.
-func (l *Loop) watchAgain() {
-	list := l.unwatched
-	l.unwatched = nil
-	for _, c := range list {
-		c.retrying = false
-		c.watch()
+// retryWatches retries setting the events of connections for which that failed.
+func (loop *Loop) retryWatches() {
+	unwatched := loop.unwatched
+	loop.unwatched = nil
+	for _, conn := range unwatched {
+		conn.watchScheduled = false
+		conn.watch()
 	}
 }
 
-var errUnwatched = errors.New("the connection can't be watched")
+var errUnwatched = errors.New("the events of the connection can't be watched")
