--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,6 +1,6 @@
-// Package backend carries attempts to boxes that speak RESP, over pooled and pipelined connections on
-// event loops, and tells the core what the end of each attempt proves: an answer, that it never ran,
-// or that it may have run. Which connection carries what is decided in internal/links; which box, by the core.
+// Package backend carries attempts to servers that speak RESP, over pooled and pipelined connections on event loops. It
+// reports to the core what the end of each attempt proves: that there is a reply, that the attempt never ran, or that it
+// may have run. Package links decides which connection carries an attempt, and the core decides which server.
 package backend
 
 import (
@@ -21,251 +21,260 @@
 	"cometpond/policy"
 )
 
-// Core is told how attempts and probes end.
+// Core is notified when attempts and probes end.
 type Core interface {
-	Done(results ...core.Result)   // under locks of the pool
-	Deliver(results []core.Result) // under none: what follows may be sent at once
+	// Done is called with locks of the pool held. It must not call back into the pool.
+	Done(results ...core.Result)
+	// Deliver is called without locks: attempts that follow from the results may be sent at once.
+	Deliver(results []core.Result)
+	// Probed is called with the result of a probe.
 	Probed(p policy.ProbeResult)
 }
 
-// Dialect is how boxes are spoken to and what their answers mean. It has no state and is safe for concurrent use.
+// Dialect is how commands are sent to servers and how their replies are read. Implementations are stateless and safe for
+// concurrent use.
 type Dialect interface {
-	// Greeting is what this end says first on a connection, and how many answers come to it.
-	Greeting() (commands []byte, answers int)
-	// AppendAttempt appends the command that carries an attempt, for whose answer leftS seconds remain.
-	AppendAttempt(dst, payload []byte, leftS float64) []byte
-	// AppendProbe appends the command that asks for the load.
+	// Greeting returns what is sent first on a connection, and the number of replies to it.
+	Greeting() (commands []byte, replies int)
+	// AppendAttempt appends the command that carries an attempt whose reply must come within remainingS seconds.
+	AppendAttempt(dst, payload []byte, remainingS float64) []byte
+	// AppendProbe appends the command that asks for a load report.
 	AppendProbe(dst []byte) []byte
-	// Reply reads the answer to an attempt. Spoilt tells that it is none: the attempt may have run, and the
-	// connection can't be trusted. The result's payload must not point into the reply.
-	Reply(reply []byte) (r core.Result, spoilt bool)
-	// Load reads the answer to a probe; nil if it tells nothing.
+	// Reply parses the reply to an attempt. Malformed means that it is not a valid reply: the attempt may have run, and
+	// the connection must be closed. The payload of the result must not alias reply.
+	Reply(reply []byte) (result core.Result, malformed bool)
+	// Load parses the reply to a probe; nil if it holds no known value.
 	Load(reply []byte) *policy.Load
-	// Limits bound an answer.
+	// Limits returns the limits on the size of a reply.
 	Limits() resp.Limits
 }
 
 // Options are the settings of a Pool. Times are in seconds.
 type Options struct {
 	Dialect     Dialect
-	Connections int           // to one box at once, 1 at least
-	Total       int           // to all boxes: they share it evenly, probes' connections aside; 0: not bounded
-	Pipeline    int           // attempts on one connection at once, 1 at least
-	Connect     time.Duration // until a connection stands
+	Connections int           // to one server at the same time, at least 1
+	Total       int           // to all servers, which share it evenly; connections for probes are not counted; 0: no limit
+	Pipeline    int           // attempts on one connection at the same time, at least 1
+	Connect     time.Duration // timeout for opening a connection
 	RestS       float64       // see links.Limits
-	IdleS       float64       // see links.Limits; 0: connections stay
-	Strict      bool          // a probe's connection is closed for an answer that nobody awaits
-	Loops       int           // event loops, 1 at least
-	// DialContext opens a connection; nil: by TCP.
+	IdleS       float64       // see links.Limits; 0: no limit
+	Strict      bool          // a probe connection is closed when an unexpected reply comes
+	Loops       int           // event loops, at least 1
+	// DialContext opens a connection; nil: over TCP.
 	DialContext func(ctx context.Context, network, addr string) (net.Conn, error)
 	Log         zerolog.Logger
 }
 
-// Counts are totals since the start.
+// Counts are totals since the start, and the number of open connections.
 type Counts struct {
-	Dials, DialsFailed uint64 // connections asked for, and not had
-	Broken             uint64 // attempts whose connection was lost
-	Late               uint64 // answers to attempts that had ended
-	Open               int64
+	Dials, DialsFailed uint64 // connections that were dialed, and dials that failed
+	Broken             uint64 // attempts that may have run when their connection ended
+	Late               uint64 // replies to attempts that had been cancelled
+	Open               int64  // connections that are open now
 }
 
-// Pool holds the connections to all boxes.
+// Pool holds the connections to all servers.
 type Pool struct {
-	opt    Options
-	core   Core
-	lim    resp.Limits
-	warn   zerolog.Logger // for what may come in masses: so many lines a second
-	loops  *eventloop.Group
-	ctx    context.Context
-	cancel context.CancelFunc
-	work   sync.WaitGroup // dials and probe timers
-	start  time.Time
+	opt         Options
+	core        Core
+	replyLimits resp.Limits
+	sampledLog  zerolog.Logger // limited to maxLogsPerSecond, as many connections may fail at the same time
+	loops       *eventloop.Group
+	ctx         context.Context
+	cancel      context.CancelFunc
+	background  sync.WaitGroup // dials, probe timers and closeIdle
+	start       time.Time
 
-	mu      sync.Mutex
-	boxes   map[string]*box
-	located map[string]string // the addresses of boxes whose names are none
+	mu        sync.Mutex
+	servers   map[string]*server // by name
+	addresses map[string]string  // by name, of servers whose names are not their addresses
 
-	dials, dialsFailed, broken, late atomic.Uint64
-	open                             atomic.Int64
+	dials, dialsFailed, attemptsBroken, lateReplies atomic.Uint64
+	openConnections                                 atomic.Int64
 }
 
-// warnMost bounds the warnings a second about single connections.
-const warnMost = 10
+// maxLogsPerSecond bounds the warnings about single connections.
+const maxLogsPerSecond = 10
 
-// keepAlive is the time after which the system looks whether a silent box is still there.
+// keepAlive is the TCP keep-alive period: how often the system checks whether a silent server is still there.
 const keepAlive = 15 * time.Second
 
-// New starts the event loops of a pool without boxes.
-func New(c Core, opt Options) (*Pool, error) {
+// New starts the event loops of a pool without servers.
+func New(handler Core, opt Options) (*Pool, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	if opt.DialContext == nil {
 		opt.DialContext = (&net.Dialer{KeepAlive: keepAlive}).DialContext
 	}
-	p := &Pool{opt: opt, core: c, lim: opt.Dialect.Limits(), boxes: map[string]*box{}, located: map[string]string{},
-		ctx: ctx, cancel: cancel, start: time.Now(), warn: opt.Log.Sample(&zerolog.BurstSampler{Burst: warnMost, Period: time.Second})}
+	pool := &Pool{opt: opt, core: handler, replyLimits: opt.Dialect.Limits(),
+		servers: map[string]*server{}, addresses: map[string]string{},
+		ctx: ctx, cancel: cancel, start: time.Now(),
+		sampledLog: opt.Log.Sample(&zerolog.BurstSampler{Burst: maxLogsPerSecond, Period: time.Second})}
 	var err error
-	if p.loops, err = eventloop.New(p, eventloop.Options{Loops: opt.Loops, Log: opt.Log}); err != nil {
+	if pool.loops, err = eventloop.New(pool, eventloop.Options{Loops: opt.Loops, Log: opt.Log}); err != nil {
 		cancel()
-		return nil, fmt.Errorf("connections to the boxes: %w", err)
+		return nil, fmt.Errorf("starting the event loops for servers: %w", err)
 	}
 	if opt.IdleS > 0 {
-		p.work.Add(1)
-		go p.sweep()
+		pool.background.Add(1)
+		go pool.closeIdle()
 	}
-	return p, nil
+	return pool, nil
 }
 
-// sweep closes connections that have stood idle for too long, until the pool stops.
-func (p *Pool) sweep() {
-	defer p.work.Done()
-	tick := time.NewTicker(time.Second)
-	defer tick.Stop()
+// closeIdle closes connections that have been idle for too long, until the pool stops.
+func (pool *Pool) closeIdle() {
+	defer pool.background.Done()
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-p.ctx.Done():
+		case <-pool.ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		p.mu.Lock()
-		for _, b := range p.boxes {
-			b.mu.Lock()
-			b.conns.Sweep(p.now())
-			if b.probe != nil && b.probing == nil && p.now()-b.probe.usedAt > p.opt.IdleS {
-				b.probe.c.Close()
+		pool.mu.Lock()
+		for _, srv := range pool.servers {
+			srv.mu.Lock()
+			srv.conns.CloseIdle(pool.now())
+			if srv.probeConn != nil && srv.probing == nil && pool.now()-srv.probeConn.usedAt > pool.opt.IdleS {
+				srv.probeConn.socket.Close()
 			}
-			b.mu.Unlock()
+			srv.mu.Unlock()
 		}
-		p.forget()
-		p.mu.Unlock()
+		pool.removeRetired()
+		pool.mu.Unlock()
 	}
 }
 
-// forget lets go of boxes that nothing hangs on any more. The pool's lock is held.
-func (p *Pool) forget() {
-	for name, b := range p.boxes {
-		b.mu.Lock()
-		if b.conns.Forgettable() && b.probe == nil && b.probing == nil {
-			delete(p.boxes, name) // until it is listed again; what is sent to it meanwhile never ran
-			delete(p.located, name)
+// removeRetired removes servers that are no longer listed and have no connection, attempt or probe left. The caller holds
+// the pool's lock.
+func (pool *Pool) removeRetired() {
+	for name, srv := range pool.servers {
+		srv.mu.Lock()
+		if srv.conns.Removable() && srv.probeConn == nil && srv.probing == nil {
+			delete(pool.servers, name) // attempts sent to it before it is listed again fail without having run
+			delete(pool.addresses, name)
 		}
-		b.mu.Unlock()
+		srv.mu.Unlock()
 	}
 }
 
-// Located tells where boxes are reached whose names are not their addresses. It comes before Servers lists them, and
-// lasts until they are gone. A box that moves is reached at its new address by connections to come.
-func (p *Pool) Located(addr map[string]string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for name, a := range addr {
-		p.located[name] = a
-		if b := p.boxes[name]; b != nil {
-			b.mu.Lock()
-			if b.addr != a {
-				b.addr = a
-				b.conns.Renew()
-				if b.probe != nil && b.probing == nil {
-					b.probe.c.Close()
+// Located sets the addresses of servers whose names are not their addresses. It must be called before Servers lists them.
+// An address is kept until its server is removed. If the address of a server changes, new connections go to the new one.
+func (pool *Pool) Located(addresses map[string]string) {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	for name, addr := range addresses {
+		pool.addresses[name] = addr
+		if srv := pool.servers[name]; srv != nil {
+			srv.mu.Lock()
+			if srv.addr != addr {
+				srv.addr = addr
+				srv.conns.RetireConnections()
+				if srv.probeConn != nil && srv.probing == nil {
+					srv.probeConn.socket.Close()
 				}
 			}
-			b.mu.Unlock()
+			srv.mu.Unlock()
 		}
 	}
 }
 
-// Stop closes all connections and returns when nothing of the pool runs any more.
-func (p *Pool) Stop() {
-	p.cancel()
-	p.work.Wait()
-	p.loops.Stop()
+// Stop closes all connections and returns when all goroutines of the pool have ended.
+func (pool *Pool) Stop() {
+	pool.cancel()
+	pool.background.Wait()
+	pool.loops.Stop()
 }
 
-// Counts returns the totals so far.
-func (p *Pool) Counts() Counts {
-	return Counts{p.dials.Load(), p.dialsFailed.Load(), p.broken.Load(), p.late.Load(), p.open.Load()}
+// Counts returns the current counts.
+func (pool *Pool) Counts() Counts {
+	return Counts{pool.dials.Load(), pool.dialsFailed.Load(), pool.attemptsBroken.Load(),
+		pool.lateReplies.Load(), pool.openConnections.Load()}
 }
 
-// now is seconds since the pool's start, monotonic.
-func (p *Pool) now() float64 { return time.Since(p.start).Seconds() }
+// now returns the seconds since the pool's start on a monotonic clock.
+func (pool *Pool) now() float64 { return time.Since(pool.start).Seconds() }
 
-func (p *Pool) box(addr string) *box {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.boxes[addr]
+// server returns the server of a name, or nil.
+func (pool *Pool) server(name string) *server {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	return pool.servers[name]
 }
 
-// Servers takes in the list of boxes. What is out at one that is gone ends as it will; its connections are
-// closed once they are idle.
-func (p *Pool) Servers(list []policy.Server, whole bool) {
-	p.mu.Lock()
+// Servers updates the list of servers; whole means that servers not in list are removed. Attempts in flight on a removed
+// server run to their end, and its connections are closed once they are idle.
+func (pool *Pool) Servers(list []policy.Server, whole bool) {
+	pool.mu.Lock()
 	listed := map[string]bool{}
-	for _, s := range list {
-		if s.State == policy.Removed {
-			if b := p.boxes[s.ID]; b != nil {
-				b.retire()
+	for _, entry := range list {
+		if entry.State == policy.Removed {
+			if srv := pool.servers[entry.ID]; srv != nil {
+				srv.retire()
 			}
 			continue
 		}
-		listed[s.ID] = true
-		if b := p.boxes[s.ID]; b == nil {
-			b = &box{pool: p, name: s.ID, addr: cmp.Or(p.located[s.ID], s.ID)}
-			b.conns = links.New(links.Limits{Connections: p.opt.Connections, Pipeline: p.opt.Pipeline, RestS: p.opt.RestS,
-				IdleS: p.opt.IdleS}, (*effects)(b))
-			p.boxes[s.ID] = b
+		listed[entry.ID] = true
+		if srv := pool.servers[entry.ID]; srv == nil {
+			srv = &server{pool: pool, name: entry.ID, addr: cmp.Or(pool.addresses[entry.ID], entry.ID)}
+			srv.conns = links.New(links.Limits{Connections: pool.opt.Connections, Pipeline: pool.opt.Pipeline, RestS: pool.opt.RestS,
+				IdleS: pool.opt.IdleS}, (*effects)(srv))
+			pool.servers[entry.ID] = srv
 		}
-		b := p.boxes[s.ID]
-		b.mu.Lock()
-		if b.conns.Listed(); s.State == policy.Draining {
-			b.conns.Drain()
+		srv := pool.servers[entry.ID]
+		srv.mu.Lock()
+		if srv.conns.Relist(); entry.State == policy.Draining {
+			srv.conns.Drain()
 		}
-		b.mu.Unlock()
+		srv.mu.Unlock()
 	}
 	if whole {
-		for addr, b := range p.boxes {
-			if !listed[addr] {
-				b.retire()
+		for name, srv := range pool.servers {
+			if !listed[name] {
+				srv.retire()
 			}
 		}
 	}
-	p.forget()
-	if p.opt.Total > 0 {
-		part := min(p.opt.Connections, max(1, p.opt.Total/max(1, len(p.boxes))))
-		for _, b := range p.boxes {
-			b.mu.Lock()
-			b.conns.Bound(part)
-			b.mu.Unlock()
+	pool.removeRetired()
+	if pool.opt.Total > 0 {
+		share := min(pool.opt.Connections, max(1, pool.opt.Total/max(1, len(pool.servers))))
+		for _, srv := range pool.servers {
+			srv.mu.Lock()
+			srv.conns.SetMaxConnections(share)
+			srv.mu.Unlock()
 		}
 	}
-	p.mu.Unlock()
+	pool.mu.Unlock()
 }
 
-// Send starts an attempt. It is not written any more once its time to begin is over.
-func (p *Pool) Send(a core.Attempt, name string, payload []byte, timing policy.Timing) {
-	b := p.box(name)
-	if b == nil {
-		p.core.Done(core.Result{Attempt: a, Status: policy.ConnectFailed})
+// Send starts an attempt on a server. The attempt is not written after its time to start has passed.
+func (pool *Pool) Send(attempt core.Attempt, name string, payload []byte, timing policy.Timing) {
+	srv := pool.server(name)
+	if srv == nil {
+		pool.core.Done(core.Result{Attempt: attempt, Status: policy.ConnectFailed})
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := p.now()
-	b.conns.Send(now, a, payload, timing)
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	now := pool.now()
+	srv.conns.Send(now, attempt, payload, timing)
 }
 
-// Cancel gives an attempt up.
-func (p *Pool) Cancel(a core.Attempt, addr string) {
-	if b := p.box(addr); b != nil {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		b.conns.Cancel(a)
+// Cancel abandons an attempt. Its end is not reported.
+func (pool *Pool) Cancel(attempt core.Attempt, name string) {
+	if srv := pool.server(name); srv != nil {
+		srv.mu.Lock()
+		defer srv.mu.Unlock()
+		srv.conns.Cancel(attempt)
 	}
 }
 
-// Withdraw takes back an attempt that was not written; it ends as policy.Moot.
-func (p *Pool) Withdraw(a core.Attempt, addr string) {
-	if b := p.box(addr); b != nil {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		b.conns.Withdraw(a)
+// Withdraw takes back an attempt that has not been written; it then ends as policy.Moot. A written one runs to its end.
+func (pool *Pool) Withdraw(attempt core.Attempt, name string) {
+	if srv := pool.server(name); srv != nil {
+		srv.mu.Lock()
+		defer srv.mu.Unlock()
+		srv.conns.Withdraw(attempt)
 	}
 }
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -22,503 +22,508 @@
 	goleak.VerifyTestMain(m)
 }
 
-// sink collects what the pool tells.
-type sink struct {
+// resultSink collects what the pool reports to the core.
+type resultSink struct {
 	results chan core.Result
 	probes  chan policy.ProbeResult
 }
 
-func (s *sink) Done(r ...core.Result) {
-	for _, x := range r {
-		s.results <- x
+func (sink *resultSink) Done(results ...core.Result) {
+	for _, result := range results {
+		sink.results <- result
 	}
 }
-func (s *sink) Deliver(list []core.Result)  { s.Done(list...) }
-func (s *sink) Probed(p policy.ProbeResult) { s.probes <- p }
-
-// box is a listener whose connections are served by the test: each command that comes is handed to it.
-type peerBox struct {
-	ln   net.Listener
-	got  chan command
-	work sync.WaitGroup
+func (sink *resultSink) Deliver(results []core.Result)         { sink.Done(results...) }
+func (sink *resultSink) Probed(probeResult policy.ProbeResult) { sink.probes <- probeResult }
+
+// testServer passes each command that it receives to the test, which writes the reply. It replies to greetings itself.
+type testServer struct {
+	listener net.Listener
+	commands chan command
+	work     sync.WaitGroup
 }
 
 type command struct {
-	c     net.Conn
+	conn  net.Conn
 	words []string
 }
 
-func newPeerBox(t *testing.T) *peerBox {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+func newTestServer(t *testing.T) *testServer {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &peerBox{ln: ln, got: make(chan command, 1000)}
-	b.work.Add(1)
+	srv := &testServer{listener: listener, commands: make(chan command, 1000)}
+	srv.work.Add(1)
 	go func() {
-		defer b.work.Done()
+		defer srv.work.Done()
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			b.work.Add(1)
-			go b.serve(c)
+			srv.work.Add(1)
+			go srv.serve(conn)
 		}
 	}()
-	t.Cleanup(func() { ln.Close(); b.work.Wait() })
-	return b
+	t.Cleanup(func() { listener.Close(); srv.work.Wait() })
+	return srv
 }
 
-func (b *peerBox) serve(c net.Conn) {
-	defer b.work.Done()
-	defer c.Close()
+func (srv *testServer) serve(conn net.Conn) {
+	defer srv.work.Done()
+	defer conn.Close()
 	var buf []byte
 	chunk := make([]byte, 4096)
 	for {
-		args, n, _, err := resp.Command(buf, nil, resp.DefaultLimits)
+		args, length, _, err := resp.Command(buf, nil, resp.DefaultLimits)
 		if err != nil {
-			m, err := c.Read(chunk)
+			n, err := conn.Read(chunk)
 			if err != nil {
 				return
 			}
-			buf = append(buf, chunk[:m]...)
+			buf = append(buf, chunk[:n]...)
 			continue
 		}
-		buf = buf[n:]
-		k := command{c: c}
-		for _, a := range args {
-			k.words = append(k.words, string(a))
+		buf = buf[length:]
+		cmd := command{conn: conn}
+		for _, arg := range args {
+			cmd.words = append(cmd.words, string(arg))
 		}
-		switch k.words[0] {
+		switch cmd.words[0] {
 		case "CLIENT", "HELLO":
-			_, _ = c.Write([]byte("+OK\r\n"))
+			_, _ = conn.Write([]byte("+OK\r\n"))
 		default:
-			b.got <- k
+			srv.commands <- cmd
 		}
 	}
 }
 
-func (b *peerBox) next(t *testing.T) command {
+func (srv *testServer) next(t *testing.T) command {
 	t.Helper()
 	select {
-	case k := <-b.got:
-		return k
+	case cmd := <-srv.commands:
+		return cmd
 	case <-time.After(20 * time.Second):
-		t.Fatal("nothing reached the box")
+		t.Fatal("the server received no command")
 		return command{}
 	}
 }
 
-func setup(t *testing.T, change func(*Options), addrs ...string) (*Pool, *sink) {
+func setup(t *testing.T, change func(*Options), addrs ...string) (*Pool, *resultSink) {
 	t.Helper()
-	s := &sink{make(chan core.Result, 1000), make(chan policy.ProbeResult, 100)}
-	o := Options{Dialect: Boxes{Name: "t"}, Connections: 2, Pipeline: 2, Connect: 5 * time.Second, Loops: 1, Log: zerolog.Nop()}
+	sink := &resultSink{make(chan core.Result, 1000), make(chan policy.ProbeResult, 100)}
+	opt := Options{Dialect: Boxes{Name: "t"}, Connections: 2, Pipeline: 2, Connect: 5 * time.Second, Loops: 1, Log: zerolog.Nop()}
 	if change != nil {
-		change(&o)
+		change(&opt)
 	}
-	p, err := New(s, o)
+	pool, err := New(sink, opt)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var list []policy.Server
-	for _, a := range addrs {
-		list = append(list, policy.Server{ID: a})
+	for _, addr := range addrs {
+		list = append(list, policy.Server{ID: addr})
 	}
-	p.Servers(list, true)
-	t.Cleanup(p.Stop)
-	return p, s
+	pool.Servers(list, true)
+	t.Cleanup(pool.Stop)
+	return pool, sink
 }
 
-func (s *sink) expect(t *testing.T, n int, status policy.Status, payload string) core.Result {
+func (sink *resultSink) expect(t *testing.T, n int, status policy.Status, payload string) core.Result {
 	t.Helper()
 	select {
-	case r := <-s.results:
-		if r.Attempt.N != n || r.Status != status || string(r.Payload) != payload {
-			t.Fatalf("attempt %d ended as %d with %q, want attempt %d, %d, %q", r.Attempt.N, r.Status, r.Payload, n, status, payload)
+	case result := <-sink.results:
+		if result.Attempt.N != n || result.Status != status || string(result.Payload) != payload {
+			t.Fatalf("attempt %d ended as %d with %q, want attempt %d, %d, %q", result.Attempt.N, result.Status, result.Payload,
+				n, status, payload)
 		}
-		return r
+		return result
 	case <-time.After(20 * time.Second):
-		t.Fatalf("attempt %d has no end", n)
+		t.Fatalf("attempt %d has not ended", n)
 	}
 	return core.Result{}
 }
 
-// within is the timing of an attempt that may be begun, and answered, for so many seconds.
-func within(s float64) policy.Timing { return policy.Timing{StartS: s, AnswerS: s} }
+// within is the timing of an attempt that must be started, and answered, within so many seconds.
+func within(seconds float64) policy.Timing { return policy.Timing{StartS: seconds, AnswerS: seconds} }
 
 func attempt(n int) core.Attempt { return core.Attempt{N: n} }
 
-func do(n int) []byte { return resp.AppendCommand(nil, "DO", fmt.Sprint(n)) }
+// doCommand is the command of attempt n.
+func doCommand(n int) []byte { return resp.AppendCommand(nil, "DO", fmt.Sprint(n)) }
 
-func TestAnswersAndErrors(t *testing.T) {
-	b := newPeerBox(t)
-	p, s := setup(t, nil, b.ln.Addr().String())
-	for i, c := range []struct {
+func TestStatusOfReplies(t *testing.T) {
+	srv := newTestServer(t)
+	pool, sink := setup(t, nil, srv.listener.Addr().String())
+	for i, test := range []struct {
 		reply  string
 		status policy.Status
-	}{{"+OK\r\n", policy.OK}, {"*2\r\n:1\r\n$1\r\nx\r\n", policy.OK}, {"-ERR no such job\r\n", policy.OK}, {"-BUSY full\r\n", policy.Full},
+	}{{"+OK\r\n", policy.OK}, {"*2\r\n:1\r\n$1\r\nx\r\n", policy.OK}, {"-ERR no such job\r\n", policy.OK},
+		{"-BUSY full\r\n", policy.Full},
 		{"-LOADING\r\n", policy.Full}, {"-TRYAGAIN later\r\n", policy.Error}, {"-INTERNAL oops\r\n", policy.Error}} {
-		p.Send(attempt(i), b.ln.Addr().String(), do(i), within(10))
-		k := b.next(t)
-		_, _ = k.c.Write([]byte(c.reply))
+		pool.Send(attempt(i), srv.listener.Addr().String(), doCommand(i), within(10))
+		cmd := srv.next(t)
+		_, _ = cmd.conn.Write([]byte(test.reply))
 		want := ""
-		if c.status == policy.OK {
-			want = c.reply
+		if test.status == policy.OK {
+			want = test.reply
 		}
-		s.expect(t, i, c.status, want)
+		sink.expect(t, i, test.status, want)
 	}
 }
 
-// Work goes over idle connections first, then in line behind other work, and no further than the bounds.
-func TestPipelineAndBounds(t *testing.T) {
-	b := newPeerBox(t)
-	addr := b.ln.Addr().String()
-	p, s := setup(t, nil, addr)
+// Attempts use idle connections first, then queue behind other attempts, up to the limits.
+func TestPipelineAndLimits(t *testing.T) {
+	srv := newTestServer(t)
+	addr := srv.listener.Addr().String()
+	pool, sink := setup(t, nil, addr)
 	for i := range 4 {
-		p.Send(attempt(i), addr, do(i), within(10))
+		pool.Send(attempt(i), addr, doCommand(i), within(10))
 	}
 	conns := map[net.Conn][]string{}
 	for range 4 {
-		k := b.next(t)
-		conns[k.c] = append(conns[k.c], k.words[1])
+		cmd := srv.next(t)
+		conns[cmd.conn] = append(conns[cmd.conn], cmd.words[1])
 	}
 	if len(conns) != 2 {
 		t.Fatalf("%d connections, want 2: %v", len(conns), conns)
 	}
-	p.Send(attempt(4), addr, do(4), within(10))
-	s.expect(t, 4, policy.Full, "")
-	for c, list := range conns {
-		for _, n := range list {
-			_, _ = c.Write([]byte("+" + n + "\r\n"))
+	pool.Send(attempt(4), addr, doCommand(4), within(10))
+	sink.expect(t, 4, policy.Full, "")
+	for conn, numbers := range conns {
+		for _, number := range numbers {
+			_, _ = conn.Write([]byte("+" + number + "\r\n"))
 		}
 	}
 	for range 4 {
-		if r := <-s.results; string(r.Payload) != fmt.Sprintf("+%d\r\n", r.Attempt.N) {
-			t.Fatalf("attempt %d got %q", r.Attempt.N, r.Payload)
+		if result := <-sink.results; string(result.Payload) != fmt.Sprintf("+%d\r\n", result.Attempt.N) {
+			t.Fatalf("attempt %d got %q", result.Attempt.N, result.Payload)
 		}
 	}
 }
 
-// What a connection's end proves: out on it, it may have run; never on it, it did not.
+// When a connection ends, the attempts written to it may have run. An attempt without a connection did not run.
 func TestResetAndRefused(t *testing.T) {
-	b := newPeerBox(t)
-	addr := b.ln.Addr().String()
-	p, s := setup(t, nil, addr)
-	p.Send(attempt(0), addr, do(0), within(10))
-	b.next(t).c.Close()
-	s.expect(t, 0, policy.Reset, "")
-	b.ln.Close()
-	p.Send(attempt(1), addr, do(1), within(10))
-	s.expect(t, 1, policy.ConnectFailed, "")
-	p.Send(attempt(2), "127.0.0.1:1", do(2), within(10)) // not on the list
-	s.expect(t, 2, policy.ConnectFailed, "")
+	srv := newTestServer(t)
+	addr := srv.listener.Addr().String()
+	pool, sink := setup(t, nil, addr)
+	pool.Send(attempt(0), addr, doCommand(0), within(10))
+	srv.next(t).conn.Close()
+	sink.expect(t, 0, policy.Reset, "")
+	srv.listener.Close()
+	pool.Send(attempt(1), addr, doCommand(1), within(10))
+	sink.expect(t, 1, policy.ConnectFailed, "")
+	pool.Send(attempt(2), "127.0.0.1:1", doCommand(2), within(10)) // not listed
+	sink.expect(t, 2, policy.ConnectFailed, "")
 }
 
-// A late answer is dropped, and the one behind it is not taken for it.
-func TestLateAnswer(t *testing.T) {
-	b := newPeerBox(t)
-	addr := b.ln.Addr().String()
-	p, s := setup(t, func(o *Options) { o.Connections = 1 }, addr)
-	p.Send(attempt(0), addr, do(0), within(10))
-	k := b.next(t)
-	p.Send(attempt(1), addr, do(1), within(10))
-	b.next(t)
-	p.Cancel(attempt(0), addr)
-	p.Send(attempt(2), addr, do(2), within(10)) // the only connection is held up by the one given up
-	s.expect(t, 2, policy.Full, "")
-	_, _ = k.c.Write([]byte("+zero\r\n+one\r\n"))
-	s.expect(t, 1, policy.OK, "+one\r\n")
-	if p.Counts().Late != 1 {
-		t.Errorf("%d late, want 1", p.Counts().Late)
-	}
-	p.Send(attempt(3), addr, do(3), within(10)) // and is free again
-	k = b.next(t)
-	_, _ = k.c.Write([]byte("+three\r\n"))
-	s.expect(t, 3, policy.OK, "+three\r\n")
+// The reply to a cancelled attempt is dropped, and the reply after it goes to the next attempt.
+func TestLateReply(t *testing.T) {
+	srv := newTestServer(t)
+	addr := srv.listener.Addr().String()
+	pool, sink := setup(t, func(opt *Options) { opt.Connections = 1 }, addr)
+	pool.Send(attempt(0), addr, doCommand(0), within(10))
+	cmd := srv.next(t)
+	pool.Send(attempt(1), addr, doCommand(1), within(10))
+	srv.next(t)
+	pool.Cancel(attempt(0), addr)
+	pool.Send(attempt(2), addr, doCommand(2), within(10)) // the cancelled attempt blocks the only connection
+	sink.expect(t, 2, policy.Full, "")
+	_, _ = cmd.conn.Write([]byte("+zero\r\n+one\r\n"))
+	sink.expect(t, 1, policy.OK, "+one\r\n")
+	if pool.Counts().Late != 1 {
+		t.Errorf("%d late, want 1", pool.Counts().Late)
+	}
+	pool.Send(attempt(3), addr, doCommand(3), within(10)) // the connection is free again
+	cmd = srv.next(t)
+	_, _ = cmd.conn.Write([]byte("+three\r\n"))
+	sink.expect(t, 3, policy.OK, "+three\r\n")
 }
 
-// A connection on which nothing but given-up work is out is closed, so that the box can stop.
+// A connection that carries only cancelled attempts is closed, so that the server can stop the work.
 func TestCancelClosesItsConnection(t *testing.T) {
-	b := newPeerBox(t)
-	addr := b.ln.Addr().String()
-	p, _ := setup(t, nil, addr)
-	p.Send(attempt(0), addr, do(0), within(10))
-	k := b.next(t)
-	p.Cancel(attempt(0), addr)
-	_ = k.c.SetReadDeadline(time.Now().Add(20 * time.Second))
-	for end := time.Now().Add(20 * time.Second); p.Counts().Open > 0; time.Sleep(5 * time.Millisecond) {
+	srv := newTestServer(t)
+	addr := srv.listener.Addr().String()
+	pool, _ := setup(t, nil, addr)
+	pool.Send(attempt(0), addr, doCommand(0), within(10))
+	cmd := srv.next(t)
+	pool.Cancel(attempt(0), addr)
+	_ = cmd.conn.SetReadDeadline(time.Now().Add(20 * time.Second))
+	for end := time.Now().Add(20 * time.Second); pool.Counts().Open > 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the connection stays open")
 		}
 	}
 }
 
-// A box that accepts and says nothing: the probe ends by time.
+// A probe ends with a load report, by a timeout if the server accepts it without a reply, or with a failed connection.
 func TestProbes(t *testing.T) {
-	b := newPeerBox(t)
-	addr := b.ln.Addr().String()
-	p, s := setup(t, func(o *Options) { o.Connect = 200 * time.Millisecond }, addr)
-	p.Probe(addr)
-	k := b.next(t)
-	if strings.Join(k.words, " ") != "INFO" {
-		t.Fatalf("got %v", k.words)
-	}
-	_, _ = k.c.Write(resp.AppendBulk(nil, "# Load\r\nutil:0.25\r\nqueue:3\r\nname:x\r\n"))
-	if r := <-s.probes; r.Status != policy.OK || r.Load == nil || r.Load.Util != 0.25 || r.Load.Queue != 3 || r.Load.InFlight != -1 {
-		t.Fatalf("%+v", r)
-	}
-	p.Probe(addr)
-	b.next(t)
-	if r := <-s.probes; r.Status != policy.Timeout || r.Server != addr {
-		t.Fatalf("%+v", r)
-	}
-	b.ln.Close()
-	for end := time.Now().Add(20 * time.Second); p.Counts().Open > 0 && time.Now().Before(end); {
+	srv := newTestServer(t)
+	addr := srv.listener.Addr().String()
+	pool, sink := setup(t, func(opt *Options) { opt.Connect = 200 * time.Millisecond }, addr)
+	pool.Probe(addr)
+	cmd := srv.next(t)
+	if strings.Join(cmd.words, " ") != "INFO" {
+		t.Fatalf("got %v", cmd.words)
+	}
+	_, _ = cmd.conn.Write(resp.AppendBulk(nil, "# Load\r\nutil:0.25\r\nqueue:3\r\nname:x\r\n"))
+	if result := <-sink.probes; result.Status != policy.OK || result.Load == nil || result.Load.Util != 0.25 ||
+		result.Load.Queue != 3 || result.Load.InFlight != -1 {
+		t.Fatalf("%+v", result)
+	}
+	pool.Probe(addr)
+	srv.next(t)
+	if result := <-sink.probes; result.Status != policy.Timeout || result.Server != addr {
+		t.Fatalf("%+v", result)
+	}
+	srv.listener.Close()
+	for end := time.Now().Add(20 * time.Second); pool.Counts().Open > 0 && time.Now().Before(end); {
 		time.Sleep(5 * time.Millisecond)
 	}
-	p.Probe(addr)
-	if r := <-s.probes; r.Status != policy.ConnectFailed {
-		t.Fatalf("%+v", r)
+	pool.Probe(addr)
+	if result := <-sink.probes; result.Status != policy.ConnectFailed {
+		t.Fatalf("%+v", result)
 	}
 }
 
-// Load that rides on answers is taken off them.
-func TestLoadWithAnswers(t *testing.T) {
-	b := newPeerBox(t)
-	addr := b.ln.Addr().String()
-	p, s := setup(t, func(o *Options) { o.Dialect = Boxes{Name: "t", ByAnswer: true} }, addr)
-	p.Send(attempt(0), addr, do(0), within(10))
-	_, _ = b.next(t).c.Write([]byte("|1\r\n+util\r\n,0.5\r\n+OK\r\n"))
-	if r := s.expect(t, 0, policy.OK, "+OK\r\n"); r.Load == nil || r.Load.Util != 0.5 {
-		t.Fatalf("%+v", r.Load)
+// The load that a reply carries as an attribute is taken off the reply.
+func TestLoadInReplies(t *testing.T) {
+	srv := newTestServer(t)
+	addr := srv.listener.Addr().String()
+	pool, sink := setup(t, func(opt *Options) { opt.Dialect = Boxes{Name: "t", ByAnswer: true} }, addr)
+	pool.Send(attempt(0), addr, doCommand(0), within(10))
+	_, _ = srv.next(t).conn.Write([]byte("|1\r\n+util\r\n,0.5\r\n+OK\r\n"))
+	if result := sink.expect(t, 0, policy.OK, "+OK\r\n"); result.Load == nil || result.Load.Util != 0.5 {
+		t.Fatalf("%+v", result.Load)
 	}
 }
 
-// A box that is gone from the list keeps what is out, and its connections end with that.
-func TestGone(t *testing.T) {
-	b := newPeerBox(t)
-	addr := b.ln.Addr().String()
-	p, s := setup(t, nil, addr)
-	p.Send(attempt(0), addr, do(0), within(10))
-	k := b.next(t)
-	p.Servers(nil, true)
-	_, _ = k.c.Write([]byte("+OK\r\n"))
-	s.expect(t, 0, policy.OK, "+OK\r\n")
-	for end := time.Now().Add(20 * time.Second); p.Counts().Open > 0; time.Sleep(5 * time.Millisecond) {
+// A server that is removed from the list finishes its attempts in flight, and then its connections end.
+func TestRemovedServer(t *testing.T) {
+	srv := newTestServer(t)
+	addr := srv.listener.Addr().String()
+	pool, sink := setup(t, nil, addr)
+	pool.Send(attempt(0), addr, doCommand(0), within(10))
+	cmd := srv.next(t)
+	pool.Servers(nil, true)
+	_, _ = cmd.conn.Write([]byte("+OK\r\n"))
+	sink.expect(t, 0, policy.OK, "+OK\r\n")
+	for end := time.Now().Add(20 * time.Second); pool.Counts().Open > 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the connection stays open")
 		}
 	}
 }
 
-// A list whose addresses change for ever grows no memory.
-func TestAddressesThatChangeForEver(t *testing.T) {
-	b := newPeerBox(t)
-	addr := b.ln.Addr().String()
-	p, s := setup(t, nil, addr)
-	p.Send(attempt(0), addr, do(0), within(10))
-	k := b.next(t)
+// Lists whose servers change all the time do not grow memory: removed servers are forgotten.
+func TestRemovedServersAreForgotten(t *testing.T) {
+	srv := newTestServer(t)
+	addr := srv.listener.Addr().String()
+	pool, sink := setup(t, nil, addr)
+	pool.Send(attempt(0), addr, doCommand(0), within(10))
+	cmd := srv.next(t)
 	for i := range 1000 {
 		var list []policy.Server
 		for n := range 100 {
 			list = append(list, policy.Server{ID: fmt.Sprintf("127.1.%d.%d:1", i, n)})
 		}
-		p.Servers(list, true)
+		pool.Servers(list, true)
 	}
-	p.mu.Lock()
-	kept := len(p.boxes)
-	p.mu.Unlock()
-	if kept != 101 { // those listed, and the one with an attempt out
-		t.Errorf("%d boxes kept, want 101", kept)
+	pool.mu.Lock()
+	kept := len(pool.servers)
+	pool.mu.Unlock()
+	if kept != 101 { // those listed, and the one with an attempt in flight
+		t.Errorf("%d servers kept, want 101", kept)
 	}
-	_, _ = k.c.Write([]byte("+OK\r\n"))
-	s.expect(t, 0, policy.OK, "+OK\r\n")
+	_, _ = cmd.conn.Write([]byte("+OK\r\n"))
+	sink.expect(t, 0, policy.OK, "+OK\r\n")
 }
 
-// lateDial opens connections as the test lets it.
-type lateDial struct{ let chan struct{} }
+// delayedDialer opens connections once the test closes allow.
+type delayedDialer struct{ allow chan struct{} }
 
-func (d *lateDial) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+func (dialer *delayedDialer) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	select {
-	case <-d.let:
+	case <-dialer.allow:
 		return (&net.Dialer{}).DialContext(ctx, network, addr)
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// A connection that comes up after its attempt was given up, or taken back since its request has its answer, carries
-// the next one: what it was opened for never reaches the box.
-func TestDialComesUpLate(t *testing.T) {
-	b := newPeerBox(t)
-	addr := b.ln.Addr().String()
-	d := &lateDial{make(chan struct{})}
-	p, s := setup(t, func(o *Options) { o.DialContext = d.dial }, addr)
-	p.Send(attempt(0), addr, do(0), within(10))
-	p.Withdraw(attempt(0), addr)
-	s.expect(t, 0, policy.Moot, "")
-	p.Send(attempt(1), addr, do(1), within(10))
-	p.Cancel(attempt(1), addr)
-	close(d.let)
-	until(t, "the connections stand", func() bool { return p.Counts().Open == 2 })
-	p.Send(attempt(2), addr, do(2), within(10))
-	k := b.next(t)
-	if k.words[1] != "2" {
-		t.Fatalf("the box got %v, want attempt 2 alone", k.words)
-	}
-	p.Withdraw(attempt(2), addr) // it was written: it runs to its end
-	_, _ = k.c.Write([]byte("+OK\r\n"))
-	s.expect(t, 2, policy.OK, "+OK\r\n")
-	if n := p.Counts().Dials; n != 2 || len(b.got) != 0 {
-		t.Errorf("%d dials and %d commands more, want the connections kept and used", n, len(b.got))
+// A connection that opens after its attempt was cancelled, or was withdrawn because the request has its response, carries
+// the next attempt. The attempt for which it was opened never reaches the server.
+func TestConnectionOpensAfterCancel(t *testing.T) {
+	srv := newTestServer(t)
+	addr := srv.listener.Addr().String()
+	dialer := &delayedDialer{make(chan struct{})}
+	pool, sink := setup(t, func(opt *Options) { opt.DialContext = dialer.dial }, addr)
+	pool.Send(attempt(0), addr, doCommand(0), within(10))
+	pool.Withdraw(attempt(0), addr)
+	sink.expect(t, 0, policy.Moot, "")
+	pool.Send(attempt(1), addr, doCommand(1), within(10))
+	pool.Cancel(attempt(1), addr)
+	close(dialer.allow)
+	waitUntil(t, "the connections are open", func() bool { return pool.Counts().Open == 2 })
+	pool.Send(attempt(2), addr, doCommand(2), within(10))
+	cmd := srv.next(t)
+	if cmd.words[1] != "2" {
+		t.Fatalf("the server received %v, want only attempt 2", cmd.words)
+	}
+	pool.Withdraw(attempt(2), addr) // it was written, so it runs to its end
+	_, _ = cmd.conn.Write([]byte("+OK\r\n"))
+	sink.expect(t, 2, policy.OK, "+OK\r\n")
+	if n := pool.Counts().Dials; n != 2 || len(srv.commands) != 0 {
+		t.Errorf("%d dials and %d further commands, want the connections kept and used", n, len(srv.commands))
 	}
 }
 
-func until(t *testing.T, what string, done func() bool) {
+func waitUntil(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !done(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not in 20 s: %s", what)
+			t.Fatalf("not within 20 s: %s", what)
 		}
 	}
 }
 
-// deafBox takes connections and reads nothing until it is told to.
-type deafBox struct {
-	ln    net.Listener
-	conns chan net.Conn
+// unreadServer accepts connections and leaves reading from them to the test.
+type unreadServer struct {
+	listener net.Listener
+	conns    chan net.Conn
 }
 
-func newDeafBox(t *testing.T) *deafBox {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+func newUnreadServer(t *testing.T) *unreadServer {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &deafBox{ln, make(chan net.Conn, 10)}
+	srv := &unreadServer{listener, make(chan net.Conn, 10)}
 	var work sync.WaitGroup
 	work.Add(1)
 	go func() {
 		defer work.Done()
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			b.conns <- c
+			srv.conns <- conn
 		}
 	}()
 	t.Cleanup(func() {
-		ln.Close()
+		listener.Close()
 		work.Wait()
-		close(b.conns)
-		for c := range b.conns {
-			c.Close()
+		close(srv.conns)
+		for conn := range srv.conns {
+			conn.Close()
 		}
 	})
-	return b
+	return srv
 }
 
-// bare is a dialect that sends payloads as they are and greets nobody.
-type bare struct{ Boxes }
+// noGreeting is a dialect that sends payloads unchanged and has no greeting.
+type noGreeting struct{ Boxes }
 
-func (bare) Greeting() ([]byte, int) { return nil, 0 }
+func (noGreeting) Greeting() ([]byte, int) { return nil, 0 }
 
-// roomOf is how many bytes the system takes of a connection whose other end reads nothing.
-func (b *deafBox) roomOf(t *testing.T) (n int) {
+// capacity measures how many bytes the system accepts on a connection whose other end reads nothing.
+func (srv *unreadServer) capacity(t *testing.T) (n int) {
 	t.Helper()
-	c, err := net.Dial("tcp", b.ln.Addr().String())
+	conn, err := net.Dial("tcp", srv.listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	defer func() { (<-b.conns).Close() }()
+	defer conn.Close()
+	defer func() { (<-srv.conns).Close() }()
 	for chunk := make([]byte, 64<<10); ; {
-		_ = c.SetWriteDeadline(time.Now().Add(200 * time.Millisecond))
-		k, err := c.Write(chunk)
-		if n += k; err != nil {
+		_ = conn.SetWriteDeadline(time.Now().Add(200 * time.Millisecond))
+		written, err := conn.Write(chunk)
+		if n += written; err != nil {
 			return n
 		}
 	}
 }
 
-// A command of which the system took a part only, to a box that reads nothing: broken off, it never ran, and goes out whole
-// over another connection; given up, its rest does not follow, though there is room for it by then.
-func TestWrittenInPartToADeafBox(t *testing.T) {
-	b := newDeafBox(t)
-	addr := b.ln.Addr().String()
-	p, s := setup(t, func(o *Options) { o.Dialect, o.Connections, o.Pipeline = bare{}, 1, 1 }, addr)
-	large := make([]byte, b.roomOf(t)+1<<20)
-	p.Send(attempt(0), addr, large, within(20))
-	first := <-b.conns
-	if _, err := first.Read(make([]byte, 1)); err != nil { // it is on its way
+// A command that the system accepted only in part, because the server reads nothing, never ran. If its connection breaks,
+// it is sent whole over another one. If it is cancelled, its rest is not sent, even when the socket accepts more by then.
+func TestPartlyWrittenToUnreadConnection(t *testing.T) {
+	srv := newUnreadServer(t)
+	addr := srv.listener.Addr().String()
+	pool, sink := setup(t, func(opt *Options) { opt.Dialect, opt.Connections, opt.Pipeline = noGreeting{}, 1, 1 }, addr)
+	large := make([]byte, srv.capacity(t)+1<<20)
+	pool.Send(attempt(0), addr, large, within(20))
+	first := <-srv.conns
+	if _, err := first.Read(make([]byte, 1)); err != nil { // the command is being sent
 		t.Fatal(err)
 	}
 	_ = first.(*net.TCPConn).SetLinger(0)
 	first.Close()
-	second := <-b.conns // and again
+	second := <-srv.conns // the command is sent again
 	defer second.Close()
 	if _, err := second.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	if len(s.results) != 0 {
-		t.Fatalf("ended as %+v, want it sent anew", <-s.results)
+	if len(sink.results) != 0 {
+		t.Fatalf("ended as %+v, want it sent again", <-sink.results)
 	}
-	x := p.box(addr)
-	x.mu.Lock()
-	x.conns.Cancel(attempt(0)) // the loop closes the connection, and waits for the lock while it does
+	poolServer := pool.server(addr)
+	poolServer.mu.Lock()
+	poolServer.conns.Cancel(attempt(0)) // the event loop closes the connection, and waits for the lock while it does so
 	time.Sleep(50 * time.Millisecond)
-	got := 1
-	for in := make([]byte, 64<<10); ; { // all that the system had taken
+	received := 1
+	for buf := make([]byte, 64<<10); ; { // all that the system had accepted
 		_ = second.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
-		n, err := second.Read(in)
-		if got += n; err != nil {
+		n, err := second.Read(buf)
+		if received += n; err != nil {
 			break
 		}
 	}
-	x.mu.Unlock()
+	poolServer.mu.Unlock()
 	_ = second.SetReadDeadline(time.Now().Add(20 * time.Second))
 	rest, _ := io.Copy(io.Discard, second)
-	if got += int(rest); got >= len(large) {
-		t.Errorf("the box got all %d bytes of what was given up", got)
+	if received += int(rest); received >= len(large) {
+		t.Errorf("the server received all %d bytes of a cancelled attempt", received)
 	}
-	until(t, "its connection is closed", func() bool { return p.Counts().Open == 0 })
+	waitUntil(t, "the connection is closed", func() bool { return pool.Counts().Open == 0 })
 }
 
-// A box that moves while a connection to it is being opened, and with one open: nothing goes where it was.
-func TestMovedWhileDialing(t *testing.T) {
-	old, now := newPeerBox(t), newPeerBox(t)
-	d := &lateDial{make(chan struct{})}
-	p, s := setup(t, func(o *Options) { o.DialContext = d.dial })
-	p.Located(map[string]string{"box": old.ln.Addr().String()})
-	p.Servers([]policy.Server{{ID: "box"}}, true)
-	p.Send(attempt(0), "box", do(0), within(20))
-	p.Located(map[string]string{"box": now.ln.Addr().String()})
-	close(d.let)
-	k := now.next(t)
-	_, _ = k.c.Write([]byte("+OK\r\n"))
-	s.expect(t, 0, policy.OK, "+OK\r\n")
-	p.Located(map[string]string{"box": old.ln.Addr().String()})
-	p.Send(attempt(1), "box", do(1), within(20))
-	k = old.next(t)
-	_, _ = k.c.Write([]byte("+OK\r\n"))
-	s.expect(t, 1, policy.OK, "+OK\r\n")
-	if len(old.got)+len(now.got) != 0 {
-		t.Error("more was sent than two commands")
+// When the address of a server changes while a connection is being opened, and again while one is open, nothing is sent to
+// the old address.
+func TestAddressChange(t *testing.T) {
+	first, second := newTestServer(t), newTestServer(t)
+	dialer := &delayedDialer{make(chan struct{})}
+	pool, sink := setup(t, func(opt *Options) { opt.DialContext = dialer.dial })
+	pool.Located(map[string]string{"box": first.listener.Addr().String()})
+	pool.Servers([]policy.Server{{ID: "box"}}, true)
+	pool.Send(attempt(0), "box", doCommand(0), within(20))
+	pool.Located(map[string]string{"box": second.listener.Addr().String()})
+	close(dialer.allow)
+	cmd := second.next(t)
+	_, _ = cmd.conn.Write([]byte("+OK\r\n"))
+	sink.expect(t, 0, policy.OK, "+OK\r\n")
+	pool.Located(map[string]string{"box": first.listener.Addr().String()})
+	pool.Send(attempt(1), "box", doCommand(1), within(20))
+	cmd = first.next(t)
+	_, _ = cmd.conn.Write([]byte("+OK\r\n"))
+	sink.expect(t, 1, policy.OK, "+OK\r\n")
+	if len(first.commands)+len(second.commands) != 0 {
+		t.Error("more than two commands were sent")
 	}
 }
 
-// The attempt's answer would still be awaited.
-func TestConnectionComesUpAfterTheWindow(t *testing.T) {
-	b := newPeerBox(t)
-	addr := b.ln.Addr().String()
-	d := &lateDial{make(chan struct{})}
-	p, s := setup(t, func(o *Options) { o.DialContext = d.dial }, addr)
-	p.Send(attempt(0), addr, do(0), policy.Timing{StartS: 0.05, AnswerS: 20})
+// A connection that opens after the attempt's time to start does not carry it, although its reply would still be in time.
+func TestConnectionOpensAfterTimeToStart(t *testing.T) {
+	srv := newTestServer(t)
+	addr := srv.listener.Addr().String()
+	dialer := &delayedDialer{make(chan struct{})}
+	pool, sink := setup(t, func(opt *Options) { opt.DialContext = dialer.dial }, addr)
+	pool.Send(attempt(0), addr, doCommand(0), policy.Timing{StartS: 0.05, AnswerS: 20})
 	time.Sleep(100 * time.Millisecond)
-	close(d.let)
-	s.expect(t, 0, policy.Moot, "")
-	if len(b.got) != 0 {
-		t.Error("the box got what could not begin any more")
+	close(dialer.allow)
+	sink.expect(t, 0, policy.Moot, "")
+	if len(srv.commands) != 0 {
+		t.Error("the server received an attempt after its time to start")
 	}
 }
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -8,193 +8,199 @@
 	"cometpond/policy"
 )
 
-// link is one connection.
-type link struct {
-	box    *box
-	c      *eventloop.Conn
-	probe  bool
-	addr   string      // where it leads
-	given  int64       // bytes handed to the loop to be written; the loop's own
-	in     []byte      // the head of an unfinished answer
-	need   int         // length of in before which another look is of no use
-	out    []outgoing  // under the box's lock
-	closed bool        // the loop's own
-	greets int         // answers of this end's own that come first, of a probe's connection
-	usedAt float64     // when a probe's connection last took one; under the box's lock
-	state  *links.Link // nil for a probe's connection
+// connection is one connection to a server.
+type connection struct {
+	server    *server
+	socket    *eventloop.Conn
+	forProbes bool
+	addr      string          // the address that was dialed
+	written   int64           // bytes passed to the event loop for sending; used only by the loop's goroutine
+	input     []byte          // the beginning of an incomplete reply
+	need      int             // length that input must reach before parsing it again can succeed
+	outgoing  []queuedAttempt // protected by the server's lock
+	closed    bool            // used only by the loop's goroutine
+	greetings int             // replies to the greeting still to come; only for a probe connection
+	usedAt    float64         // when a probe connection was last used; protected by the server's lock
+	state     *links.Conn     // nil for a probe connection
 }
 
-// outgoing is an attempt on its way to the socket.
-type outgoing struct {
+// queuedAttempt is an attempt that is about to be written.
+type queuedAttempt struct {
 	attempt core.Attempt
 	payload []byte
 }
 
-// effects carries out what the state of a box's connections asks for, under the box's lock.
-type effects box
+// effects carries out what links.Pool decides. Its methods are called with the server's lock held.
+type effects server
 
-func (e *effects) Dial() { (*box)(e).dial(false) }
+// Dial opens a connection for attempts.
+func (e *effects) Dial() { (*server)(e).dial(false) }
 
-// Write and Close go through the connection's event loop. OnClose tells what became of the attempts on a connection.
-func (e *effects) Write(l *links.Link, a core.Attempt, payload []byte) {
-	k := l.Conn.(*link)
-	if k.out = append(k.out, outgoing{a, payload}); len(k.out) == 1 {
-		_ = k.c.Loop().Execute(k.flush) // an error means that the loops end, and OnClose is next
+// Write passes an attempt to the connection's event loop. If the connection ends first, OnClose handles the attempt.
+func (e *effects) Write(state *links.Conn, attempt core.Attempt, payload []byte) {
+	conn := state.Handle.(*connection)
+	if conn.outgoing = append(conn.outgoing, queuedAttempt{attempt, payload}); len(conn.outgoing) == 1 {
+		_ = conn.socket.Loop().Execute(conn.flush) // an error means that the loops are stopping: OnClose follows
 	}
 }
 
-func (e *effects) Close(l *links.Link) { l.Conn.(*link).c.Close() }
+// Close has the connection's event loop close it. OnClose follows.
+func (e *effects) Close(state *links.Conn) { state.Handle.(*connection).socket.Close() }
 
-// flush writes what is to go out on a connection, in its event loop and in one piece. It is here, with the bytes
-// about to leave, that each attempt is looked at for the last time: the process may have stood still.
-func (l *link) flush() {
-	b := l.box
-	b.mu.Lock()
-	list := l.out
-	l.out = nil
+// flush writes the queued attempts in the event loop, with one call. Whether an attempt is still to be written is decided
+// only here, immediately before the write, as the process may have been paused since the attempt was queued.
+func (conn *connection) flush() {
+	srv := conn.server
+	srv.mu.Lock()
+	queued := conn.outgoing
+	conn.outgoing = nil
 	var buf []byte
-	p, now := b.pool, b.pool.now()
-	if l.state == nil || !l.closed && p.opt.RestS > 0 && l.c.Unread() && b.conns.Stale(now, l.state, len(list)) {
-		b.mu.Unlock()
+	pool, now := srv.pool, srv.pool.now()
+	if conn.state == nil || !conn.closed && pool.opt.RestS > 0 && conn.socket.Unread() &&
+		srv.conns.ReplaceStale(now, conn.state, len(queued)) {
+		srv.mu.Unlock()
 		return
 	}
-	for _, o := range list {
-		if left, may := b.conns.Writing(now, l.state, o.attempt); may {
-			buf = p.opt.Dialect.AppendAttempt(buf, o.payload, left)
-			l.state.Wrote(o.attempt, l.given+int64(len(buf)))
+	for _, entry := range queued {
+		if remainingS, ok := srv.conns.StartWrite(now, conn.state, entry.attempt); ok {
+			buf = pool.opt.Dialect.AppendAttempt(buf, entry.payload, remainingS)
+			conn.state.SetEndOffset(entry.attempt, conn.written+int64(len(buf)))
 		}
 	}
-	b.mu.Unlock()
-	if len(buf) > 0 && !l.closed {
-		l.given += int64(len(buf))
-		l.c.Write(buf) // if it breaks, OnClose tells what became of the attempts
+	srv.mu.Unlock()
+	if len(buf) > 0 && !conn.closed {
+		conn.written += int64(len(buf))
+		conn.socket.Write(buf) // if the connection breaks, OnClose ends the attempts
 	}
 }
 
-func (e *effects) End(a core.Attempt, status policy.Status) {
+// End reports that an attempt has ended without a reply.
+func (e *effects) End(attempt core.Attempt, status policy.Status) {
 	if status == policy.Reset {
-		e.pool.broken.Add(1)
+		e.pool.attemptsBroken.Add(1)
 	}
-	e.pool.core.Done(core.Result{Attempt: a, Status: status})
+	e.pool.core.Done(core.Result{Attempt: attempt, Status: status})
 }
 
 // OnOpen puts a new connection to use.
-func (p *Pool) OnOpen(c *eventloop.Conn) eventloop.Action {
-	l := c.Context().(*link)
-	p.open.Add(1)
-	l.c = c
-	out, act := l.opened()
-	if len(out) > 0 {
-		l.given += int64(len(out))
-		c.Write(out)
-	}
-	return act
+func (pool *Pool) OnOpen(socket *eventloop.Conn) eventloop.Action {
+	conn := socket.Context().(*connection)
+	pool.openConnections.Add(1)
+	conn.socket = socket
+	greeting, action := conn.opened()
+	if len(greeting) > 0 {
+		conn.written += int64(len(greeting))
+		socket.Write(greeting)
+	}
+	return action
 }
 
-// opened puts a connection to use, and returns what is said first on it.
-func (l *link) opened() ([]byte, eventloop.Action) {
-	b, p := l.box, l.box.pool
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !l.probe && l.addr != b.addr { // it has moved meanwhile
-		b.conns.Misdialed()
+// opened adds the connection to its server and returns what is sent first on it.
+func (conn *connection) opened() ([]byte, eventloop.Action) {
+	srv, pool := conn.server, conn.server.pool
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	if !conn.forProbes && conn.addr != srv.addr { // the server's address has changed meanwhile
+		srv.conns.DialedOldAddress()
 		return nil, eventloop.Close
 	}
-	out, greetings := p.opt.Dialect.Greeting()
-	if l.probe {
-		b.probe, l.greets, l.usedAt = l, greetings, p.now()
-		return p.opt.Dialect.AppendProbe(out), eventloop.None
+	greeting, replies := pool.opt.Dialect.Greeting()
+	if conn.forProbes {
+		srv.probeConn, conn.greetings, conn.usedAt = conn, replies, pool.now()
+		return pool.opt.Dialect.AppendProbe(greeting), eventloop.None
 	}
-	l.state = b.conns.Opened(p.now(), l, greetings)
-	return out, eventloop.None
+	conn.state = srv.conns.Opened(pool.now(), conn, replies)
+	return greeting, eventloop.None
 }
 
-// OnData matches answers to what they were awaited for.
-func (p *Pool) OnData(c *eventloop.Conn, buf []byte) eventloop.Action {
-	l := c.Context().(*link)
-	if len(l.in) > 0 {
-		l.in = append(l.in, buf...)
-		buf = l.in
-	}
-	if len(buf) < l.need {
+// OnData matches replies to the attempts, probes and greetings that await them.
+func (pool *Pool) OnData(socket *eventloop.Conn, data []byte) eventloop.Action {
+	conn := socket.Context().(*connection)
+	if len(conn.input) > 0 {
+		conn.input = append(conn.input, data...)
+		data = conn.input
+	}
+	if len(data) < conn.need {
 		return eventloop.None
 	}
-	l.need = 0
-	used, act := 0, eventloop.None
+	conn.need = 0
+	used, action := 0, eventloop.None
 	var results []core.Result
-	for used < len(buf) {
-		n, need, err := resp.ReplyNeed(buf[used:], p.lim)
+	for used < len(data) {
+		length, need, err := resp.ReplyNeed(data[used:], pool.replyLimits)
 		if err == resp.ErrIncomplete {
-			l.need = need
+			conn.need = need
 			break
 		} else if err != nil {
-			p.opt.Log.Warn().Str("box", l.box.name).Err(err).Msg("box breaks the protocol")
-			act = eventloop.Close
+			pool.opt.Log.Warn().Str("box", conn.server.name).Err(err).Msg("server violated the protocol; closing the connection")
+			action = eventloop.Close
 			break
 		}
-		reply := buf[used : used+n]
-		used += n
+		reply := data[used : used+length]
+		used += length
 		if len(reply) > 0 && reply[0] == '>' {
-			continue // pushed out of turn: no answer to anything
+			continue // a push message is not a reply to a command
 		}
-		if l.probe {
-			if l.greets--; l.greets < 0 && !l.box.probed(policy.OK, p.opt.Dialect.Load(reply)) && p.opt.Strict {
-				act = eventloop.Close
+		if conn.forProbes {
+			if conn.greetings--; conn.greetings < 0 && !conn.server.endProbe(policy.OK, pool.opt.Dialect.Load(reply)) && pool.opt.Strict {
+				action = eventloop.Close
 				break
 			}
 			continue
 		}
-		r, spoilt := p.opt.Dialect.Reply(reply)
-		if spoilt {
-			p.opt.Log.Warn().Str("box", l.box.name).Msg("answer of a box can't be used")
-			act = eventloop.Close // which ends what is out here
+		result, malformed := pool.opt.Dialect.Reply(reply)
+		if malformed {
+			pool.opt.Log.Warn().Str("box", conn.server.name).Msg("server sent a malformed reply; closing the connection")
+			action = eventloop.Close // OnClose ends the attempts on this connection
 			break
 		}
-		l.box.mu.Lock()
-		a, kind := l.box.conns.Answered(p.now(), l.state)
-		l.box.mu.Unlock()
+		conn.server.mu.Lock()
+		attempt, kind := conn.server.conns.MatchReply(pool.now(), conn.state)
+		conn.server.mu.Unlock()
 		switch kind {
-		case links.Unexpected:
-			act = eventloop.Close
-		case links.Late:
-			p.late.Add(1)
-		case links.Live:
-			r.Attempt = a
-			results = append(results, r)
+		case links.UnexpectedReply:
+			action = eventloop.Close
+		case links.LateReply:
+			pool.lateReplies.Add(1)
+		case links.AttemptReply:
+			result.Attempt = attempt
+			results = append(results, result)
 		}
-		if act == eventloop.Close {
+		if action == eventloop.Close {
 			break
 		}
 	}
-	if act == eventloop.Close {
-		used = len(buf)
+	if action == eventloop.Close {
+		used = len(data)
 	}
-	l.in = resp.Rest(l.in, buf, used, l.need)
+	conn.input = resp.Rest(conn.input, data, used, conn.need)
 	if len(results) > 0 {
-		p.core.Deliver(results)
+		pool.core.Deliver(results)
 	}
-	return act
+	return action
 }
 
-// OnClose ends what was out on a connection: each attempt on it may have run.
-func (p *Pool) OnClose(c *eventloop.Conn, err error) {
-	l := c.Context().(*link)
-	defer p.open.Add(-1) // last: who sees it gone finds nothing of it left
-	l.closed = true
-	b := l.box
-	left := int64(c.Unsent())
-	b.mu.Lock()
-	if l.state != nil {
-		p.opt.Log.Debug().Str("box", b.name).AnErr("error", err).Int64("unwritten_bytes", left).Int("attempts", l.state.Out()).
-			Msg("connection to a box ended")
-		b.conns.Closed(p.now(), l.state, l.given-left)
-	}
-	wasProbe := b.probe == l
-	if wasProbe {
-		b.probe = nil
-	}
-	b.mu.Unlock()
-	if wasProbe {
-		b.probed(policy.Reset, nil)
+// OnClose ends the attempts on a connection, or moves those to other connections that were not sent in full, and ends the
+// probe on a probe connection.
+func (pool *Pool) OnClose(socket *eventloop.Conn, err error) {
+	conn := socket.Context().(*connection)
+	defer pool.openConnections.Add(-1) // last, so that whoever sees the lower count finds nothing left of the connection
+	conn.closed = true
+	srv := conn.server
+	unwritten := int64(socket.Unsent())
+	srv.mu.Lock()
+	if conn.state != nil {
+		pool.opt.Log.Debug().Str("box", srv.name).AnErr("error", err).
+			Int64("unwritten_bytes", unwritten).Int("attempts", conn.state.InFlight()).
+			Msg("connection to a server ended")
+		srv.conns.Closed(pool.now(), conn.state, conn.written-unwritten)
+	}
+	wasProbeConn := srv.probeConn == conn
+	if wasProbeConn {
+		srv.probeConn = nil
+	}
+	srv.mu.Unlock()
+	if wasProbeConn {
+		srv.endProbe(policy.Reset, nil)
 	}
 }
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -7,45 +7,47 @@
 	"cometpond/policy"
 )
 
-// dial opens one more connection on a goroutine of its own, which the pool waits for.
-func (b *box) dial(probe bool) {
-	p := b.pool
-	p.dials.Add(1)
-	p.work.Add(1)
-	addr := b.addr
+// dial opens a connection in its own goroutine, which Pool.Stop waits for. The caller holds the server's lock.
+func (srv *server) dial(forProbes bool) {
+	pool := srv.pool
+	pool.dials.Add(1)
+	pool.background.Add(1)
+	addr := srv.addr
 	go func() {
-		defer p.work.Done()
-		ctx, cancel := context.WithTimeout(p.ctx, p.opt.Connect)
+		defer pool.background.Done()
+		ctx, cancel := context.WithTimeout(pool.ctx, pool.opt.Connect)
 		defer cancel()
-		l := &link{box: b, probe: probe, addr: addr}
-		if err := syserr.Retry(ctx, syserr.Local, func() error { return p.connect(ctx, l) }); err != nil {
-			p.dialsFailed.Add(1)
-			p.warn.Warn().Str("box", b.name).Str("addr", addr).Bool("probe", probe).Err(err).Msg("no connection to a box")
-			b.dialFailed(probe, err)
+		conn := &connection{server: srv, forProbes: forProbes, addr: addr}
+		if err := syserr.Retry(ctx, syserr.Local, func() error { return pool.connect(ctx, conn) }); err != nil {
+			pool.dialsFailed.Add(1)
+			pool.sampledLog.Warn().Str("box", srv.name).Str("addr", addr).Bool("probe", forProbes).Err(err).
+				Msg("opening a connection to a server failed")
+			srv.dialFailed(forProbes, err)
 		}
 	}()
 }
 
-// connect opens a connection and has a loop serve it.
-func (p *Pool) connect(ctx context.Context, l *link) error {
-	c, err := p.opt.DialContext(ctx, "tcp", l.addr)
+// connect opens a connection and has an event loop serve it.
+func (pool *Pool) connect(ctx context.Context, conn *connection) error {
+	netConn, err := pool.opt.DialContext(ctx, "tcp", conn.addr)
 	if err != nil {
 		return err
 	}
-	return p.loops.Enroll(c, l)
+	return pool.loops.Enroll(netConn, conn)
 }
 
-// dialFailed takes the news that a connection was not had. What this machine lacked for it says nothing of the box.
-func (b *box) dialFailed(probe bool, err error) {
+// dialFailed ends the attempts, or the probe, that waited for a connection. An error on this machine's side says nothing
+// about the server: attempts then end as policy.Moot.
+func (srv *server) dialFailed(forProbes bool, err error) {
 	status := policy.ConnectFailed
 	if syserr.Local(err) {
 		status = policy.Moot
 	}
-	if probe {
-		b.probed(status, nil)
+	if forProbes {
+		srv.endProbe(status, nil)
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.conns.DialFailed(b.pool.now(), status)
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	srv.conns.DialFailed(srv.pool.now(), status)
 }
--- a/internal/backend/probe.go
+++ b/internal/backend/probe.go
@@ -6,60 +6,63 @@
 	"cometpond/policy"
 )
 
+// probe is a request for a load report that is in flight.
 type probe struct {
-	at    time.Time
-	timer *time.Timer
+	startedAt time.Time
+	timeout   *time.Timer
 }
 
-// Probe asks a box for its load, on a connection of its own.
-func (p *Pool) Probe(addr string) {
-	b := p.box(addr)
-	if b == nil {
-		p.core.Probed(policy.ProbeResult{Server: addr, Status: policy.ConnectFailed})
+// Probe asks a server for a load report, on a connection that is only used for probes.
+func (pool *Pool) Probe(name string) {
+	srv := pool.server(name)
+	if srv == nil {
+		pool.core.Probed(policy.ProbeResult{Server: name, Status: policy.ConnectFailed})
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.probing != nil {
-		return // one at a time: that one's end will be told
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	if srv.probing != nil {
+		return // at most one probe is in flight; its result will be reported
 	}
-	pr := &probe{at: time.Now()}
-	b.probing = pr
-	p.work.Add(1)
-	pr.timer = time.AfterFunc(2*p.opt.Connect, func() {
-		defer p.work.Done()
-		b.mu.Lock()
-		if b.probing != pr {
-			b.mu.Unlock()
+	started := &probe{startedAt: time.Now()}
+	srv.probing = started
+	pool.background.Add(1)
+	started.timeout = time.AfterFunc(2*pool.opt.Connect, func() {
+		defer pool.background.Done()
+		srv.mu.Lock()
+		if srv.probing != started {
+			srv.mu.Unlock()
 			return
 		}
-		if b.probe != nil {
-			b.probe.c.Close()
+		if srv.probeConn != nil {
+			srv.probeConn.socket.Close()
 		}
-		b.mu.Unlock()
-		b.probed(policy.Timeout, nil)
+		srv.mu.Unlock()
+		srv.endProbe(policy.Timeout, nil)
 	})
-	if b.probe != nil {
-		b.probe.usedAt = p.now()
-		c := b.probe.c
-		_ = c.Loop().Execute(func() { c.Write(p.opt.Dialect.AppendProbe(nil)) }) // an error means that the loops end
+	if srv.probeConn != nil {
+		srv.probeConn.usedAt = pool.now()
+		socket := srv.probeConn.socket
+		// An error means that the loops are stopping.
+		_ = socket.Loop().Execute(func() { socket.Write(pool.opt.Dialect.AppendProbe(nil)) })
 		return
 	}
-	b.dial(true)
+	srv.dial(true)
 }
 
-// probed ends the probe that is out; false if none is.
-func (b *box) probed(status policy.Status, load *policy.Load) bool {
-	b.mu.Lock()
-	pr := b.probing
-	b.probing = nil
-	b.mu.Unlock()
-	if pr == nil {
+// endProbe ends the probe in flight and reports its result; it returns false if no probe is in flight.
+func (srv *server) endProbe(status policy.Status, load *policy.Load) bool {
+	srv.mu.Lock()
+	ended := srv.probing
+	srv.probing = nil
+	srv.mu.Unlock()
+	if ended == nil {
 		return false
 	}
-	if pr.timer.Stop() {
-		b.pool.work.Done()
+	if ended.timeout.Stop() {
+		srv.pool.background.Done()
 	}
-	b.pool.core.Probed(policy.ProbeResult{Server: b.name, Status: status, SpentS: time.Since(pr.at).Seconds(), Load: load})
+	srv.pool.core.Probed(policy.ProbeResult{Server: srv.name, Status: status,
+		SpentS: time.Since(ended.startedAt).Seconds(), Load: load})
 	return true
 }
--- a/internal/backend/reply.go
+++ b/internal/backend/reply.go
@@ -10,71 +10,73 @@
 	"cometpond/policy"
 )
 
-// Boxes is the dialect of plain RESP boxes: they are greeted with this instance's name, answer INFO with their load,
-// and any answer but an error that boxes give to all is the client's.
+// Boxes is the dialect of plain RESP servers. The greeting tells them the name of this instance, and they reply to INFO
+// with their load. A reply is passed to the client, unless it is an error that says nothing about the client's command.
 type Boxes struct {
-	Name     string // this instance's, by CLIENT SETNAME
-	ByAnswer bool   // load rides on answers as an attribute, which version 3 alone has
+	Name     string // of this instance, sent with CLIENT SETNAME
+	ByAnswer bool   // replies carry the load as an attribute, which only version 3 of the protocol has
 }
 
-// mostReply bounds one string of an answer, bytes.
-const mostReply = 8 << 20
+// maxReplyBytes bounds one string of a reply.
+const maxReplyBytes = 8 << 20
 
-// Limits are wide: what a box answers is its own affair.
+// Limits returns wide limits: what a server replies to a command is not this gateway's concern.
 func (Boxes) Limits() resp.Limits {
-	lim := resp.DefaultLimits
-	lim.Bulk, lim.Args = mostReply, 1<<16
-	return lim
+	limits := resp.DefaultLimits
+	limits.Bulk, limits.Args = maxReplyBytes, 1<<16
+	return limits
 }
 
-// Greeting names this instance.
-func (d Boxes) Greeting() (commands []byte, answers int) {
-	if d.ByAnswer {
+// Greeting returns the commands that set the protocol version and the name of this instance.
+func (rd Boxes) Greeting() (commands []byte, replies int) {
+	if rd.ByAnswer {
 		commands = resp.AppendCommand(commands, "HELLO", "3")
-		answers++
+		replies++
 	}
-	return resp.AppendCommand(commands, "CLIENT", "SETNAME", d.Name), answers + 1
+	return resp.AppendCommand(commands, "CLIENT", "SETNAME", rd.Name), replies + 1
 }
 
-// AppendAttempt appends the client's command as it came. Alone it is not copied: it may be large.
+// AppendAttempt appends the client's command unchanged. If dst is empty, it returns the payload without copying it, as it
+// may be large.
 func (Boxes) AppendAttempt(dst, payload []byte, _ float64) []byte {
 	if len(dst) == 0 {
-		return payload[:len(payload):len(payload)] // so that what is appended to it goes elsewhere
+		return payload[:len(payload):len(payload)] // so that a later append does not write into the payload's array
 	}
 	return append(dst, payload...)
 }
 
-// AppendProbe asks for INFO.
+// AppendProbe appends the command INFO.
 func (Boxes) AppendProbe(dst []byte) []byte { return resp.AppendCommand(dst, "INFO") }
 
-// Reply judges an answer and takes the load that rides on it.
-func (d Boxes) Reply(reply []byte) (r core.Result, spoilt bool) {
-	lim := d.Limits()
-	attr, body := resp.SplitAttribute(reply, lim)
-	if attr != nil {
-		r.Load = pairsLoad(resp.Strings(attr, lim))
+// Reply classifies a reply and extracts the load that it carries. It never reports a reply as malformed.
+func (rd Boxes) Reply(reply []byte) (result core.Result, malformed bool) {
+	limits := rd.Limits()
+	attribute, body := resp.SplitAttribute(reply, limits)
+	if attribute != nil {
+		result.Load = loadFromPairs(resp.Strings(attribute, limits))
 	}
-	if r.Status = judge(body); r.Status == policy.OK {
-		r.Payload = bytes.Clone(body)
+	if result.Status = replyStatus(body); result.Status == policy.OK {
+		result.Payload = bytes.Clone(body)
 	}
-	return r, false
+	return result, false
 }
 
-// Load reads INFO's text.
-func (d Boxes) Load(reply []byte) *policy.Load { return parseLoad(resp.Text(reply, d.Limits())) }
+// Load parses the reply to INFO.
+func (rd Boxes) Load(reply []byte) *policy.Load { return parseInfo(resp.Text(reply, rd.Limits())) }
 
-// judge tells what a reply proves. Errors with which boxes turn work away unseen never ran. Errors of the
-// box itself may have run. Words on which client libraries repeat a command by themselves are never passed
-// on: they count as errors of the box. All other errors are the box's answer to the client.
-func judge(reply []byte) policy.Status {
+// replyStatus returns what a reply proves about an attempt. After errors with which a server rejects a command unseen, the
+// attempt did not run; after errors of the server itself, it may have run. Errors on which client libraries repeat a
+// command by themselves count as errors of the server, so that they are never passed on. All other errors are the
+// server's reply to the client.
+func replyStatus(reply []byte) policy.Status {
 	if len(reply) == 0 || reply[0] != '-' {
 		return policy.OK
 	}
-	word := reply[1:]
-	if i := bytes.IndexAny(word, " \r"); i >= 0 {
-		word = word[:i]
+	code := reply[1:]
+	if i := bytes.IndexAny(code, " \r"); i >= 0 {
+		code = code[:i]
 	}
-	switch string(word) {
+	switch string(code) {
 	case "BUSY", "LOADING", "OOM":
 		return policy.Full
 	case "INTERNAL", "TRYAGAIN", "CLUSTERDOWN", "MASTERDOWN", "READONLY", "MOVED", "ASK", "NOREPLICAS", "UNKILLABLE":
@@ -86,32 +88,32 @@
 	return policy.OK
 }
 
-// parseLoad reads a load report from the text of INFO: a line a figure, as util:0.5.
-func parseLoad(text string) *policy.Load {
+// parseInfo reads a load report from the text of INFO, which has one value per line, such as util:0.5.
+func parseInfo(text string) *policy.Load {
 	var pairs []string
 	for line := range strings.Lines(text) {
-		if k, v, ok := strings.Cut(strings.TrimSpace(line), ":"); ok {
-			pairs = append(pairs, k, v)
+		if name, value, ok := strings.Cut(strings.TrimSpace(line), ":"); ok {
+			pairs = append(pairs, name, value)
 		}
 	}
-	return pairsLoad(pairs)
+	return loadFromPairs(pairs)
 }
 
-// pairsLoad reads a load report from names and figures in turn; nil if it holds none that is known.
-func pairsLoad(pairs []string) *policy.Load {
-	l := policy.Load{InFlight: -1, Queue: -1, Util: -1, ServiceMS: -1, ServedPerS: -1, FailedPerS: -1}
-	fields := map[string]*float64{"inflight": &l.InFlight, "queue": &l.Queue, "util": &l.Util, "latency_ms": &l.ServiceMS,
-		"served_per_s": &l.ServedPerS, "failed_per_s": &l.FailedPerS}
-	some := false
+// loadFromPairs reads a load report from alternating names and values; nil if it holds no known value.
+func loadFromPairs(pairs []string) *policy.Load {
+	load := policy.Load{InFlight: -1, Queue: -1, Util: -1, ServiceMS: -1, ServedPerS: -1, FailedPerS: -1}
+	fields := map[string]*float64{"inflight": &load.InFlight, "queue": &load.Queue, "util": &load.Util, "latency_ms": &load.ServiceMS,
+		"served_per_s": &load.ServedPerS, "failed_per_s": &load.FailedPerS}
+	found := false
 	for i := 0; i+1 < len(pairs); i += 2 {
-		if to := fields[pairs[i]]; to != nil {
-			if x, err := strconv.ParseFloat(pairs[i+1], 64); err == nil && x >= 0 {
-				*to, some = x, true
+		if field := fields[pairs[i]]; field != nil {
+			if value, err := strconv.ParseFloat(pairs[i+1], 64); err == nil && value >= 0 {
+				*field, found = value, true
 			}
 		}
 	}
-	if !some {
+	if !found {
 		return nil
 	}
-	return &l
+	return &load
 }
--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -6,44 +6,45 @@
 	"cometpond/internal/links"
 )
 
-// box is what is kept of one box. Its lock covers all below.
-type box struct {
+// server is the state of one server. Its lock protects addr and the fields below mu.
+type server struct {
 	pool *Pool
 	name string
-	addr string // where it is reached
+	addr string // where new connections are opened
 
-	mu      sync.Mutex
-	conns   *links.Box
-	probe   *link // a connection of its own, so that no answer holds a probe up
-	probing *probe
+	mu        sync.Mutex
+	conns     *links.Pool
+	probeConn *connection // only for probes, so that no attempt delays them
+	probing   *probe      // the probe in flight
 }
 
-func (b *box) retire() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.conns.Retire()
-	if b.probe != nil {
-		b.probe.c.Close()
+// retire drains a server that is no longer listed and closes its connections as they become idle.
+func (srv *server) retire() {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	srv.conns.Retire()
+	if srv.probeConn != nil {
+		srv.probeConn.socket.Close()
 	}
 }
 
-// Held is what the connections to one box carry.
+// Held describes the connections to one server.
 type Held struct {
-	Connections, Idle int // open, and with nothing out
-	Out               int // attempts without an end
-	GivenUp           int // attempts given up whose connection still stands
+	Connections, Idle int // open connections, and those of them that await no reply
+	Out               int // attempts that have not ended, including those that wait for a connection
+	GivenUp           int // cancelled attempts whose connection is still open
 }
 
-// Held tells what the connections to each box carry now.
-func (p *Pool) Held() map[string]Held {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	all := make(map[string]Held, len(p.boxes))
-	for name, b := range p.boxes {
-		b.mu.Lock()
-		open, idle, dead := b.conns.Links()
-		all[name] = Held{open, idle, b.conns.Out(), dead}
-		b.mu.Unlock()
+// Held returns the state of the connections to each server, by the name of the server.
+func (pool *Pool) Held() map[string]Held {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	stats := make(map[string]Held, len(pool.servers))
+	for name, srv := range pool.servers {
+		srv.mu.Lock()
+		open, idle, cancelled := srv.conns.Stats()
+		stats[name] = Held{open, idle, srv.conns.InFlight(), cancelled}
+		srv.mu.Unlock()
 	}
-	return all
+	return stats
 }
--- a/internal/links/pool.go
+++ b/internal/links/pool.go
@@ -1,9 +1,10 @@
-// Package links decides which connection to a box carries an attempt, when one more is opened or one is
-// closed, and what the end of a connection proves of the attempts on it. It has no I/O, no clock and no
-// goroutine; internal/backend carries out what it asks for.
+// Package links is the connection pool of one server without its I/O: it decides which connection carries an attempt,
+// when a connection is opened or closed, and what the end of a connection proves about the attempts on it. It has no
+// clock and no goroutine; internal/backend carries out its decisions.
 //
-// Answers come in the order of the commands, so a connection that holds an attempt given up may be held up
-// by it: it takes no more, and is closed once it holds nothing else, so that the box can stop the work.
+// A server replies in the order of the commands, so a connection that carries a cancelled attempt may be blocked by it.
+// Such a connection takes no further attempts and is closed once it carries no others, so that the server can stop the
+// work.
 package links
 
 import (
@@ -15,416 +16,433 @@
 	"cometpond/policy"
 )
 
-// Effects is what a Box wants done. Its methods are called while one of the Box's methods runs.
+// Effects carries out what a Pool decides. Its methods are called while a method of the Pool runs.
 type Effects interface {
-	Dial() // open a connection: ends in Opened or DialFailed
-	// Write has the payload written in the order of the calls. Right before, Writing tells whether it still may.
-	Write(l *Link, a core.Attempt, payload []byte)
-	Close(l *Link)                            // ends in Closed
-	End(a core.Attempt, status policy.Status) // the attempt has ended without an answer
+	// Dial opens a connection. It ends in a call of Opened, DialFailed or DialedOldAddress.
+	Dial()
+	// Write writes payloads in the order of the calls. Immediately before each write, the implementation asks StartWrite
+	// whether the attempt is still to be written.
+	Write(conn *Conn, attempt core.Attempt, payload []byte)
+	// Close closes a connection. It ends in a call of Closed.
+	Close(conn *Conn)
+	// End reports that an attempt has ended without a reply.
+	End(attempt core.Attempt, status policy.Status)
 }
 
-// Limits bound what a Box uses. Times are in seconds on one clock with those of the methods.
+// Limits bound what a Pool uses. Times are in seconds, on the clock of the times passed to its methods.
 type Limits struct {
-	Connections int // open or being opened at once, 1 at least
-	Pipeline    int // attempts awaited on one of them, 1 at least
-	// RestS is how long a connection is not used after an answer while another one can be had: more than belongs
-	// to the answer may still come, and would be taken for the next one's.
+	Connections int // open or being opened at the same time, at least 1
+	Pipeline    int // attempts awaiting a reply on one connection, at least 1
+	// RestS is how long after a reply a connection is not used while another one is available: the server may send
+	// more data than belongs to the reply, which would be taken for the reply to the next attempt.
 	RestS float64
-	IdleS float64 // a connection that has stood idle for so long is closed and not used any more, 0: none is
+	IdleS float64 // a connection idle for longer is closed and not used again; 0: no limit
 }
 
-// Box is the connections to one box. It is not safe for concurrent use.
-type Box struct {
-	lim     Limits
-	fx      Effects
-	links   []*Link
-	dialing int
-	waiting []*flight // for a connection
-	flights map[core.Attempt]*flight
-	retired bool
-	drains  bool // nothing new goes to the box
+// Pool is the connections to one server. It is not safe for concurrent use.
+type Pool struct {
+	limits   Limits
+	effects  Effects
+	conns    []*Conn
+	dialing  int             // connections being opened
+	waiting  []*pendingReply // attempts without a connection
+	attempts map[core.Attempt]*pendingReply
+	retired  bool // the server is no longer listed
+	draining bool // no new attempt goes to the server
 }
 
-// Link is one open connection.
-type Link struct {
-	Conn any // the caller's
-
-	flights []*flight // in the order of the answers to come
-	setups  int       // of them, this end's own greeting
-	dead    int       // of them, given up
-	usedAt  float64   // when it was opened or last answered
-	rests   bool      // it has answered, and may have more to say
-	last    bool      // it belongs to what the box was before: nothing new goes over it
-	closed  bool
+// Conn is one open connection.
+type Conn struct {
+	Handle any // the caller's connection, as passed to Opened
+
+	queue     []*pendingReply // in the order in which the replies will come
+	greetings int             // entries of the queue that belong to the greeting
+	cancelled int             // entries of the queue whose attempt was cancelled
+	usedAt    float64         // when it was opened or last received a reply
+	answered  bool            // it has received a reply, and more data may follow
+	retired   bool            // it takes no new attempts, see RetireConnections
+	closing   bool            // Effects.Close was called, or the connection has ended
 }
 
-// flight is what one answer on a link is awaited for.
-type flight struct {
-	attempt core.Attempt
-	payload []byte
-	startBy float64 // not to be written after this time
-	until   float64 // its answer is of no use after this time
-	link    *Link
-	setup   bool
-	dead    bool
-	written bool  // or about to be
-	end     int64 // of the bytes that its connection is to carry, those up to its last one; then it may run
+// pendingReply is an attempt, or one command of this client's greeting, whose reply has not come yet.
+type pendingReply struct {
+	attempt   core.Attempt
+	payload   []byte
+	startBy   float64 // not written after this time
+	answerBy  float64 // the reply is useless after this time
+	conn      *Conn
+	greeting  bool
+	cancelled bool
+	written   bool  // written, or about to be
+	endOffset int64 // offset of the end of its command in the bytes sent on the connection; once these are sent it may run
 }
 
-// New returns a box without connections.
-func New(lim Limits, fx Effects) *Box {
-	return &Box{lim: lim, fx: fx, flights: map[core.Attempt]*flight{}}
+// New returns a pool without connections.
+func New(limits Limits, effects Effects) *Pool {
+	return &Pool{limits: limits, effects: effects, attempts: map[core.Attempt]*pendingReply{}}
 }
 
-// Bound changes how many connections there may be; those that stand go on.
-func (b *Box) Bound(connections int) { b.lim.Connections = max(1, connections) }
-
-// Send starts an attempt: over an idle connection, else a new one, else one that rests, else in line behind the
-// fewest. With no room at all it ends at once as Full: the box has not seen it.
-func (b *Box) Send(now float64, a core.Attempt, payload []byte, timing policy.Timing) {
-	f := &flight{attempt: a, payload: payload, startBy: now + min(timing.StartS, timing.AnswerS), until: now + timing.AnswerS}
-	b.flights[a] = f
-	b.place(now, f)
+// SetMaxConnections changes the limit on connections. Open connections above the new limit stay open.
+func (pool *Pool) SetMaxConnections(connections int) { pool.limits.Connections = max(1, connections) }
+
+// Send starts an attempt. It uses, in this order: an idle connection, a new connection, a connection that has just
+// received a reply (see Limits.RestS), or the connection with the fewest attempts. If every limit is reached, the attempt
+// ends at once as policy.Full: the server has not seen it.
+func (pool *Pool) Send(now float64, attempt core.Attempt, payload []byte, timing policy.Timing) {
+	pending := &pendingReply{attempt: attempt, payload: payload,
+		startBy: now + min(timing.StartS, timing.AnswerS), answerBy: now + timing.AnswerS}
+	pool.attempts[attempt] = pending
+	pool.place(now, pending)
 }
 
-func (b *Box) place(now float64, f *flight) {
-	a := f.attempt
-	idle, resting, next := b.pick(now)
+// place gives an attempt to a connection, lets it wait for one, or ends it.
+func (pool *Pool) place(now float64, pending *pendingReply) {
+	attempt := pending.attempt
+	idle, recent, busy := pool.pick(now)
 	switch {
-	case b.drains:
-		delete(b.flights, a)
-		b.fx.End(a, policy.Moot)
+	case pool.draining:
+		delete(pool.attempts, attempt)
+		pool.effects.End(attempt, policy.Moot)
 	case idle != nil:
-		b.write(idle, f)
-	case len(b.links)+b.dialing < b.lim.Connections:
-		b.waiting = append(b.waiting, f)
-		b.dial()
-	case resting != nil:
-		b.write(resting, f)
-	case next != nil:
-		b.write(next, f)
-	case len(b.waiting) < (b.dialing+b.closing())*b.lim.Pipeline:
-		b.waiting = append(b.waiting, f)
+		pool.write(idle, pending)
+	case len(pool.conns)+pool.dialing < pool.limits.Connections:
+		pool.waiting = append(pool.waiting, pending)
+		pool.dial()
+	case recent != nil:
+		pool.write(recent, pending)
+	case busy != nil:
+		pool.write(busy, pending)
+	case len(pool.waiting) < (pool.dialing+pool.closingCount())*pool.limits.Pipeline:
+		pool.waiting = append(pool.waiting, pending)
 	default:
-		delete(b.flights, a)
-		b.fx.End(a, policy.Full)
+		delete(pool.attempts, attempt)
+		pool.effects.End(attempt, policy.Full)
 	}
 }
 
-// closing counts the connections whose end is on its way: each leaves room for a new one.
-func (b *Box) closing() (n int) {
-	for _, l := range b.links {
-		if l.closed {
-			n++
+// closingCount counts the connections that are being closed. Each of them makes room for a new one.
+func (pool *Pool) closingCount() (count int) {
+	for _, conn := range pool.conns {
+		if conn.closing {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-func (b *Box) dial() {
-	b.dialing++
-	b.fx.Dial()
+func (pool *Pool) dial() {
+	pool.dialing++
+	pool.effects.Dial()
 }
 
-// pick returns a connection with nothing out, the one with nothing out that has rested the longest of those that
-// still should, and the one with least out that has room.
-func (b *Box) pick(now float64) (idle, resting, next *Link) {
-	for _, l := range b.links {
-		n := len(l.flights) - l.setups
+// pick returns the usable connections of each kind, or nil: idle carries no attempt; recent carries none either, but
+// received a reply less than Limits.RestS ago (the one for which this is longest ago); busy is the one with the fewest
+// attempts, below Limits.Pipeline.
+func (pool *Pool) pick(now float64) (idle, recent, busy *Conn) {
+	for _, conn := range pool.conns {
+		inFlight := len(conn.queue) - conn.greetings
 		switch {
-		case l.closed || l.last || l.dead > 0:
-		case n == 0 && b.lim.IdleS > 0 && now-l.usedAt > b.lim.IdleS:
-			b.close(l) // the box may be closing it, which would reset whatever is written now
-		case n == 0 && l.rests && now-l.usedAt < b.lim.RestS:
-			if resting == nil || l.usedAt < resting.usedAt {
-				resting = l
+		case conn.closing || conn.retired || conn.cancelled > 0:
+		case inFlight == 0 && pool.limits.IdleS > 0 && now-conn.usedAt > pool.limits.IdleS:
+			pool.close(conn) // the server may be closing it too, which would reset whatever is written now
+		case inFlight == 0 && conn.answered && now-conn.usedAt < pool.limits.RestS:
+			if recent == nil || conn.usedAt < recent.usedAt {
+				recent = conn
 			}
-		case n == 0:
-			return l, nil, nil
-		case n < b.lim.Pipeline && (next == nil || n < len(next.flights)-next.setups):
-			next = l
+		case inFlight == 0:
+			return conn, nil, nil
+		case inFlight < pool.limits.Pipeline && (busy == nil || inFlight < len(busy.queue)-busy.greetings):
+			busy = conn
 		}
 	}
-	return nil, resting, next
+	return nil, recent, busy
 }
 
-func (b *Box) write(l *Link, f *flight) {
-	f.link = l
-	l.flights = append(l.flights, f)
-	b.fx.Write(l, f.attempt, f.payload)
+func (pool *Pool) write(conn *Conn, pending *pendingReply) {
+	pending.conn = conn
+	conn.queue = append(conn.queue, pending)
+	pool.effects.Write(conn, pending.attempt, pending.payload)
 }
 
-// Writing tells whether an attempt's payload is to be written now, and how many seconds it has. One that was given
-// up meanwhile, whose time is over, or whose box drains is taken off its connection: the box never sees it.
-func (b *Box) Writing(now float64, l *Link, a core.Attempt) (leftS float64, may bool) {
-	i := slices.IndexFunc(l.flights, func(f *flight) bool { return !f.setup && f.attempt == a })
+// StartWrite reports whether the payload of an attempt is to be written now, and how many seconds remain for its reply.
+// An attempt that was cancelled meanwhile, whose time is over, or whose server drains is taken off its connection: the
+// server never sees it.
+func (pool *Pool) StartWrite(now float64, conn *Conn, attempt core.Attempt) (remainingS float64, ok bool) {
+	i := slices.IndexFunc(conn.queue, func(pending *pendingReply) bool { return !pending.greeting && pending.attempt == attempt })
 	if i < 0 {
 		return 0, false // its connection has ended
 	}
-	f := l.flights[i]
-	if !f.dead && now <= f.startBy && !b.drains {
-		f.written, f.end = true, math.MaxInt64
-		return f.until - now, true
+	pending := conn.queue[i]
+	if !pending.cancelled && now <= pending.startBy && !pool.draining {
+		pending.written, pending.endOffset = true, math.MaxInt64
+		return pending.answerBy - now, true
 	}
-	l.flights = slices.Delete(l.flights, i, i+1)
+	conn.queue = slices.Delete(conn.queue, i, i+1)
 	switch {
-	case f.dead:
-		l.dead--
-	case b.drains || now <= f.until: // the box is not to blame
-		delete(b.flights, a)
-		b.fx.End(a, policy.Moot)
+	case pending.cancelled:
+		conn.cancelled--
+	case pool.draining || now <= pending.answerBy: // not the server's fault
+		delete(pool.attempts, attempt)
+		pool.effects.End(attempt, policy.Moot)
 	default:
-		delete(b.flights, a)
-		b.fx.End(a, policy.ConnectFailed)
+		delete(pool.attempts, attempt)
+		pool.effects.End(attempt, policy.ConnectFailed)
 	}
-	b.spent(l)
-	b.share(now)
+	pool.closeIfDone(conn)
+	pool.placeWaiting(now)
 	return 0, false
 }
 
-// Out is the number of attempts on a connection that await their answer.
-func (l *Link) Out() int { return len(l.flights) - l.setups - l.dead }
+// InFlight is the number of attempts on a connection that await their reply.
+func (conn *Conn) InFlight() int { return len(conn.queue) - conn.greetings - conn.cancelled }
 
-// Wrote tells where an attempt that Writing let through ends among the bytes that its connection is to carry.
-func (l *Link) Wrote(a core.Attempt, end int64) {
-	if i := slices.IndexFunc(l.flights, func(f *flight) bool { return !f.setup && f.attempt == a }); i >= 0 {
-		l.flights[i].end = end
+// SetEndOffset records where the command of an attempt admitted by StartWrite ends in the bytes sent on its connection.
+func (conn *Conn) SetEndOffset(attempt core.Attempt, endOffset int64) {
+	if i := slices.IndexFunc(conn.queue,
+		func(pending *pendingReply) bool { return !pending.greeting && pending.attempt == attempt }); i >= 0 {
+		conn.queue[i].endOffset = endOffset
 	}
 }
 
-// Stale takes the word that a connection has brought something nobody awaits, or has ended, before the attempts on
-// it were written. They go over another connection; the box has not seen them. False: others are out on it.
-func (b *Box) Stale(now float64, l *Link, unwritten int) bool {
-	if len(l.flights) != unwritten || l.closed {
+// ReplaceStale handles a connection that has received unexpected data, or has ended, before the unwritten attempts on it
+// were written, whose number is unwritten. It closes the connection and moves these attempts to other ones, as the server
+// has not seen them. It does nothing and reports false if other attempts are in flight on the connection.
+func (pool *Pool) ReplaceStale(now float64, conn *Conn, unwritten int) bool {
+	if len(conn.queue) != unwritten || conn.closing {
 		return false
 	}
-	flights := l.flights
-	l.flights, l.dead = nil, 0
-	b.close(l)
-	for _, f := range flights {
-		if f.link = nil; !f.dead {
-			b.place(now, f)
+	queue := conn.queue
+	conn.queue, conn.cancelled = nil, 0
+	pool.close(conn)
+	for _, pending := range queue {
+		if pending.conn = nil; !pending.cancelled {
+			pool.place(now, pending)
 		}
 	}
 	return true
 }
 
-// spent closes a connection on which nothing but what was given up is out, or that is not to be used again.
-func (b *Box) spent(l *Link) {
-	if l.dead > 0 && l.dead == len(l.flights) || (l.last || b.retired) && len(l.flights) == 0 {
-		b.close(l)
+// closeIfDone closes a connection that carries only cancelled attempts, and one that carries nothing and is not to be
+// used again.
+func (pool *Pool) closeIfDone(conn *Conn) {
+	if conn.cancelled > 0 && conn.cancelled == len(conn.queue) || (conn.retired || pool.retired) && len(conn.queue) == 0 {
+		pool.close(conn)
 	}
 }
 
-func (b *Box) close(l *Link) {
-	if !l.closed {
-		l.closed = true
-		b.fx.Close(l)
+func (pool *Pool) close(conn *Conn) {
+	if !conn.closing {
+		conn.closing = true
+		pool.effects.Close(conn)
 	}
 }
 
-// share gives what waits to connections: one each as they open, and the rest in line once no more is to come.
-func (b *Box) share(now float64) {
-	for len(b.waiting) > 0 {
-		idle, resting, next := b.pick(now)
-		if idle == nil && b.dialing == 0 {
-			idle = cmp.Or(resting, next)
+// placeWaiting gives waiting attempts to connections: only to idle ones while connections are being opened, otherwise
+// to recent and busy ones as well.
+func (pool *Pool) placeWaiting(now float64) {
+	for len(pool.waiting) > 0 {
+		conn, recent, busy := pool.pick(now)
+		if conn == nil && pool.dialing == 0 {
+			conn = cmp.Or(recent, busy)
 		}
-		if idle == nil {
+		if conn == nil {
 			break
 		}
-		f := b.waiting[0]
-		b.waiting[0] = nil
-		b.waiting = b.waiting[1:]
-		b.write(idle, f)
+		pending := pool.waiting[0]
+		pool.waiting[0] = nil
+		pool.waiting = pool.waiting[1:]
+		pool.write(conn, pending)
 	}
 }
 
-// Opened puts a new connection to use. Greetings is how many answers of this end's own come first.
-func (b *Box) Opened(now float64, conn any, greetings int) *Link {
-	l := &Link{Conn: conn, setups: greetings, usedAt: now}
+// Opened puts a new connection to use. Greetings is the number of replies to this client's greeting, which come first.
+func (pool *Pool) Opened(now float64, handle any, greetings int) *Conn {
+	conn := &Conn{Handle: handle, greetings: greetings, usedAt: now}
 	for range greetings {
-		l.flights = append(l.flights, &flight{setup: true})
+		conn.queue = append(conn.queue, &pendingReply{greeting: true})
 	}
-	b.dialing--
-	b.links = append(b.links, l)
-	b.share(now)
-	return l
+	pool.dialing--
+	pool.conns = append(pool.conns, conn)
+	pool.placeWaiting(now)
+	return conn
 }
 
-// DialFailed ends what waited for a connection that can't be had, unless another one will do: it never ran. Status is
-// policy.ConnectFailed, or policy.Moot where the box is not to blame.
-func (b *Box) DialFailed(now float64, status policy.Status) {
-	b.dialing--
-	b.share(now)
-	// Those that another dial, or one to come, will not carry can't wait for a busy connection: it may never answer.
-	most := (b.dialing + b.closing()) * b.lim.Pipeline
-	for len(b.waiting) > most {
-		f := b.waiting[len(b.waiting)-1]
-		b.waiting = b.waiting[:len(b.waiting)-1]
-		delete(b.flights, f.attempt)
-		b.fx.End(f.attempt, status)
+// DialFailed ends the attempts that waited for a connection that could not be opened, unless another connection can carry
+// them: they never ran. Status is policy.ConnectFailed, or policy.Moot where the server is not at fault.
+func (pool *Pool) DialFailed(now float64, status policy.Status) {
+	pool.dialing--
+	pool.placeWaiting(now)
+	// Only the connections being opened, and those that replace closing ones, can carry attempts that still wait. The
+	// others must not wait for a busy connection: it may never reply.
+	maxWaiting := (pool.dialing + pool.closingCount()) * pool.limits.Pipeline
+	for len(pool.waiting) > maxWaiting {
+		pending := pool.waiting[len(pool.waiting)-1]
+		pool.waiting = pool.waiting[:len(pool.waiting)-1]
+		delete(pool.attempts, pending.attempt)
+		pool.effects.End(pending.attempt, status)
 	}
 }
 
-// Withdraw takes back an attempt whose answer nobody needs any more: one that was not written ends as Moot, the
-// box never sees it. One that was runs to its end.
-func (b *Box) Withdraw(a core.Attempt) {
-	if f := b.flights[a]; f != nil && !f.written {
-		b.Cancel(a)
-		b.fx.End(a, policy.Moot)
+// Withdraw takes back an attempt whose reply is no longer needed. If it is unwritten, it ends as policy.Moot and the
+// server never sees it; otherwise it runs to its end.
+func (pool *Pool) Withdraw(attempt core.Attempt) {
+	if pending := pool.attempts[attempt]; pending != nil && !pending.written {
+		pool.Cancel(attempt)
+		pool.effects.End(attempt, policy.Moot)
 	}
 }
 
-// Cancel gives an attempt up; nothing more is told of it.
-func (b *Box) Cancel(a core.Attempt) {
-	f := b.flights[a]
-	if f == nil {
+// Cancel abandons an attempt. Its end is not reported.
+func (pool *Pool) Cancel(attempt core.Attempt) {
+	pending := pool.attempts[attempt]
+	if pending == nil {
 		return
 	}
-	delete(b.flights, a)
-	f.dead = true
-	if l := f.link; l != nil {
-		// One that was not written is taken off by Writing, and the connection serves on.
-		if l.dead++; f.written && l.dead == len(l.flights) {
-			b.close(l)
+	delete(pool.attempts, attempt)
+	pending.cancelled = true
+	if conn := pending.conn; conn != nil {
+		// StartWrite takes an unwritten attempt off the connection, which stays usable.
+		if conn.cancelled++; pending.written && conn.cancelled == len(conn.queue) {
+			pool.close(conn)
 		}
 		return
 	}
-	for i, w := range b.waiting {
-		if w == f {
-			b.waiting = append(b.waiting[:i], b.waiting[i+1:]...)
+	for i, waiting := range pool.waiting {
+		if waiting == pending {
+			pool.waiting = append(pool.waiting[:i], pool.waiting[i+1:]...)
 			return
 		}
 	}
 }
 
-// Kind is what an answer belongs to.
-type Kind int
+// ReplyKind is what a reply belongs to.
+type ReplyKind int
 
-// The kinds.
+// The kinds of replies.
 const (
-	Unexpected Kind = iota // nothing was awaited: the connection can't be trusted any more
-	Greeting               // this end's own
-	Late                   // an attempt that was given up
-	Live                   // an attempt, which has ended with this answer
+	UnexpectedReply ReplyKind = iota // none was awaited: the connection is out of step and must be closed
+	GreetingReply                    // the reply to a command of this client's greeting
+	LateReply                        // the reply to a cancelled attempt
+	AttemptReply                     // the reply to an attempt, which ends with it
 )
 
-// Answered matches the next answer on a connection to what it was awaited for.
-func (b *Box) Answered(now float64, l *Link) (core.Attempt, Kind) {
-	if len(l.flights) == 0 {
-		return core.Attempt{}, Unexpected
+// MatchReply returns what the next reply on a connection belongs to.
+func (pool *Pool) MatchReply(now float64, conn *Conn) (core.Attempt, ReplyKind) {
+	if len(conn.queue) == 0 {
+		return core.Attempt{}, UnexpectedReply
 	}
-	f := l.flights[0]
-	l.flights = l.flights[1:]
-	l.usedAt, l.rests = now, true
-	kind := Live
+	pending := conn.queue[0]
+	conn.queue = conn.queue[1:]
+	conn.usedAt, conn.answered = now, true
+	kind := AttemptReply
 	switch {
-	case f.setup:
-		l.setups--
-		kind = Greeting
-	case f.dead:
-		l.dead--
-		kind = Late
+	case pending.greeting:
+		conn.greetings--
+		kind = GreetingReply
+	case pending.cancelled:
+		conn.cancelled--
+		kind = LateReply
 	default:
-		delete(b.flights, f.attempt)
+		delete(pool.attempts, pending.attempt)
 	}
-	b.spent(l)
-	b.share(now)
-	return f.attempt, kind
+	pool.closeIfDone(conn)
+	pool.placeWaiting(now)
+	return pending.attempt, kind
 }
 
-// Closed ends what was out on a connection: each attempt whose last byte was among those that the system took may have
-// run. What was not written, or in part only, never ran; it goes on with others, or with a new one, as does what waits.
-func (b *Box) Closed(now float64, l *Link, taken int64) {
-	l.closed = true
-	for i, o := range b.links {
-		if o == l {
-			b.links = append(b.links[:i], b.links[i+1:]...)
+// Closed handles the end of a connection on which the operating system accepted sentBytes. An attempt whose command is
+// wholly among them may have run and ends as policy.Reset. One of which nothing or only a part was sent never ran: it moves
+// to another connection. A new one is opened if waiting attempts need it.
+func (pool *Pool) Closed(now float64, conn *Conn, sentBytes int64) {
+	conn.closing = true
+	for i, other := range pool.conns {
+		if other == conn {
+			pool.conns = append(pool.conns[:i], pool.conns[i+1:]...)
 			break
 		}
 	}
-	flights := l.flights
-	l.flights = nil
-	for _, f := range flights {
+	queue := conn.queue
+	conn.queue = nil
+	for _, pending := range queue {
 		switch {
-		case f.setup || f.dead:
-		case f.written && f.end <= taken:
-			delete(b.flights, f.attempt)
-			b.fx.End(f.attempt, policy.Reset)
+		case pending.greeting || pending.cancelled:
+		case pending.written && pending.endOffset <= sentBytes:
+			delete(pool.attempts, pending.attempt)
+			pool.effects.End(pending.attempt, policy.Reset)
 		default:
-			f.link, f.written = nil, false
-			b.place(now, f)
+			pending.conn, pending.written = nil, false
+			pool.place(now, pending)
 		}
 	}
-	if len(b.waiting) > b.dialing*b.lim.Pipeline && len(b.links)+b.dialing < b.lim.Connections {
-		b.dial()
+	if len(pool.waiting) > pool.dialing*pool.limits.Pipeline && len(pool.conns)+pool.dialing < pool.limits.Connections {
+		pool.dial()
 	}
 }
 
-// Drain ends all that has not been written: nothing new goes to the box. Listed takes that back.
-func (b *Box) Drain() {
-	b.drains = true
-	waiting := b.waiting
-	b.waiting = nil
-	for _, f := range waiting {
-		delete(b.flights, f.attempt)
-		b.fx.End(f.attempt, policy.Moot)
+// Drain ends all unwritten attempts and sends no new ones to the server, until Relist. Attempts that wait for a connection
+// end at once, those queued on one when they are about to be written.
+func (pool *Pool) Drain() {
+	pool.draining = true
+	waiting := pool.waiting
+	pool.waiting = nil
+	for _, pending := range waiting {
+		delete(pool.attempts, pending.attempt)
+		pool.effects.End(pending.attempt, policy.Moot)
 	}
 }
 
-// Sweep closes connections that have stood idle for too long.
-func (b *Box) Sweep(now float64) {
-	for _, l := range b.links {
-		if b.lim.IdleS > 0 && len(l.flights) == 0 && now-l.usedAt > b.lim.IdleS {
-			b.close(l)
+// CloseIdle closes the connections that have been idle for longer than Limits.IdleS.
+func (pool *Pool) CloseIdle(now float64) {
+	for _, conn := range pool.conns {
+		if pool.limits.IdleS > 0 && len(conn.queue) == 0 && now-conn.usedAt > pool.limits.IdleS {
+			pool.close(conn)
 		}
 	}
 }
 
-// Retire is Drain that closes connections as they become idle: the box is no longer listed.
-func (b *Box) Retire() {
-	b.Drain()
-	b.retired = true
-	b.Renew()
+// Retire drains a server that is no longer listed, and closes its connections as they become idle.
+func (pool *Pool) Retire() {
+	pool.Drain()
+	pool.retired = true
+	pool.RetireConnections()
 }
 
-// Renew has nothing new go over the connections that stand: the box is reached elsewhere from now on, or is another one.
-func (b *Box) Renew() {
-	for _, l := range b.links {
-		l.last = true
-		b.spent(l)
+// RetireConnections sends no new attempts over the connections that are open now: the server has another address, or is
+// a new one under the same name. They are closed as they become idle.
+func (pool *Pool) RetireConnections() {
+	for _, conn := range pool.conns {
+		conn.retired = true
+		pool.closeIfDone(conn)
 	}
 }
 
-// Misdialed takes the word that a connection came up to where the box was before: it is not used.
-func (b *Box) Misdialed() {
-	b.dialing--
-	if len(b.waiting) > b.dialing*b.lim.Pipeline && len(b.links)+b.dialing < b.lim.Connections {
-		b.dial()
+// DialedOldAddress handles a dial that has reached a former address of the server: the connection is not used.
+func (pool *Pool) DialedOldAddress() {
+	pool.dialing--
+	if len(pool.waiting) > pool.dialing*pool.limits.Pipeline && len(pool.conns)+pool.dialing < pool.limits.Connections {
+		pool.dial()
 	}
 }
 
-// Forgettable tells that nothing is left of a retired box: no connection, none being opened, and no attempt.
-func (b *Box) Forgettable() bool {
-	return b.retired && len(b.links) == 0 && b.dialing == 0 && len(b.flights) == 0
+// Removable reports whether nothing is left of a retired server: no connection, no dial and no attempt.
+func (pool *Pool) Removable() bool {
+	return pool.retired && len(pool.conns) == 0 && pool.dialing == 0 && len(pool.attempts) == 0
 }
 
-// Listed takes Retire and Drain back.
-func (b *Box) Listed() { b.retired, b.drains = false, false }
+// Relist reverts Retire and Drain.
+func (pool *Pool) Relist() { pool.retired, pool.draining = false, false }
 
-// Out is the number of attempts without an end.
-func (b *Box) Out() int { return len(b.flights) }
+// InFlight is the number of attempts that have not ended, including those that wait for a connection.
+func (pool *Pool) InFlight() int { return len(pool.attempts) }
 
-// Links counts the open connections, those with nothing out, and the attempts on them that were given up.
-func (b *Box) Links() (open, idle, dead int) {
-	for _, l := range b.links {
+// Stats counts the open connections, those of them that are idle, and the cancelled attempts on them.
+func (pool *Pool) Stats() (open, idle, cancelled int) {
+	for _, conn := range pool.conns {
 		open++
-		dead += l.dead
-		if len(l.flights) == 0 {
+		cancelled += conn.cancelled
+		if len(conn.queue) == 0 {
 			idle++
 		}
 	}
-	return open, idle, dead
+	return open, idle, cancelled
 }
--- a/internal/links/pool_test.go
+++ b/internal/links/pool_test.go
@@ -11,188 +11,188 @@
 	"cometpond/policy"
 )
 
-// The same histories at every run; -rapid.seed on the command line draws others.
+// Every run draws the same histories; -rapid.seed on the command line draws others.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
 }
 
-// till is the timing of an attempt that may be begun, and answered, until then.
-func till(now, until float64) policy.Timing {
+// deadline is the timing of an attempt that must be started, and answered, by the time until.
+func deadline(now, until float64) policy.Timing {
 	return policy.Timing{StartS: until - now, AnswerS: until - now}
 }
 
-// wire records what a box wants done.
-type wire struct {
+// record is what a pool has decided.
+type record struct {
 	dials   int
-	written map[*Link][]int // attempts by number, in order
-	closing []*Link
+	written map[*Conn][]int // numbers of attempts, in order
+	closing []*Conn
 	ended   map[int]policy.Status
 }
 
-func newWire() *wire { return &wire{written: map[*Link][]int{}, ended: map[int]policy.Status{}} }
+func newRecord() *record { return &record{written: map[*Conn][]int{}, ended: map[int]policy.Status{}} }
 
-func (w *wire) Dial() { w.dials++ }
-func (w *wire) Write(l *Link, _ core.Attempt, payload []byte) {
-	w.written[l] = append(w.written[l], int(payload[0]))
+func (rec *record) Dial() { rec.dials++ }
+func (rec *record) Write(conn *Conn, _ core.Attempt, payload []byte) {
+	rec.written[conn] = append(rec.written[conn], int(payload[0]))
 }
-func (w *wire) Close(l *Link) { w.closing = append(w.closing, l) }
-func (w *wire) End(a core.Attempt, s policy.Status) {
-	if _, twice := w.ended[a.N]; twice {
+func (rec *record) Close(conn *Conn) { rec.closing = append(rec.closing, conn) }
+func (rec *record) End(attempt core.Attempt, status policy.Status) {
+	if _, twice := rec.ended[attempt.N]; twice {
 		panic("an attempt ended twice")
 	}
-	w.ended[a.N] = s
+	rec.ended[attempt.N] = status
 }
 
-// writing is Writing as a plain answer.
-func writing(b *Box, now float64, l *Link, n int) bool {
-	_, may := b.Writing(now, l, at(n))
-	return may
+// startWrite is StartWrite without the remaining time.
+func startWrite(pool *Pool, now float64, conn *Conn, n int) bool {
+	_, ok := pool.StartWrite(now, conn, attempt(n))
+	return ok
 }
 
-func at(n int) core.Attempt { return core.Attempt{N: n} }
+func attempt(n int) core.Attempt { return core.Attempt{N: n} }
 
-// An attempt that waited for two connections at once is not left behind when both have opened.
-func TestNothingIsLeftWaiting(t *testing.T) {
-	w := newWire()
-	b := New(Limits{Connections: 2, Pipeline: 2}, w)
+// Attempts that wait for two connections at once are all written when both have opened.
+func TestAllWaitingAttemptsAreWritten(t *testing.T) {
+	rec := newRecord()
+	pool := New(Limits{Connections: 2, Pipeline: 2}, rec)
 	for n := range 4 {
-		b.Send(0, at(n), []byte{byte(n)}, till(0, 10))
+		pool.Send(0, attempt(n), []byte{byte(n)}, deadline(0, 10))
 	}
-	x, y := b.Opened(0, nil, 1), b.Opened(0, nil, 1)
-	if w.dials != 2 || len(w.written[x])+len(w.written[y]) != 4 {
-		t.Fatalf("%d dials, written %v and %v", w.dials, w.written[x], w.written[y])
+	first, second := pool.Opened(0, nil, 1), pool.Opened(0, nil, 1)
+	if rec.dials != 2 || len(rec.written[first])+len(rec.written[second]) != 4 {
+		t.Fatalf("%d dials, written %v and %v", rec.dials, rec.written[first], rec.written[second])
 	}
-	b.Send(0, at(4), []byte{4}, till(0, 10))
-	if w.ended[4] != policy.Full {
-		t.Fatalf("beyond the bounds: %v", w.ended)
+	pool.Send(0, attempt(4), []byte{4}, deadline(0, 10))
+	if rec.ended[4] != policy.Full {
+		t.Fatalf("beyond the limits: %v", rec.ended)
 	}
 }
 
-// A connection whose last live answer has come is closed if only given-up attempts are left on it.
-func TestClosesBehindTheLastLiveAnswer(t *testing.T) {
-	w := newWire()
-	b := New(Limits{Connections: 1, Pipeline: 2}, w)
-	b.Send(0, at(0), []byte{0}, till(0, 10))
-	l := b.Opened(0, nil, 0)
-	b.Send(0, at(1), []byte{1}, till(0, 10))
-	b.Cancel(at(1))
-	if len(w.closing) != 0 {
-		t.Fatal("closed under a live attempt")
-	}
-	if a, k := b.Answered(0, l); k != Live || a != at(0) || len(w.closing) != 1 {
-		t.Fatalf("%v %v, %d closed", a, k, len(w.closing))
+// A connection is closed after the last reply to a live attempt if only cancelled attempts are left on it.
+func TestConnectionWithOnlyCancelledAttemptsIsClosed(t *testing.T) {
+	rec := newRecord()
+	pool := New(Limits{Connections: 1, Pipeline: 2}, rec)
+	pool.Send(0, attempt(0), []byte{0}, deadline(0, 10))
+	conn := pool.Opened(0, nil, 0)
+	pool.Send(0, attempt(1), []byte{1}, deadline(0, 10))
+	pool.Cancel(attempt(1))
+	if len(rec.closing) != 0 {
+		t.Fatal("closed while an attempt is in flight")
+	}
+	if a, kind := pool.MatchReply(0, conn); kind != AttemptReply || a != attempt(0) || len(rec.closing) != 1 {
+		t.Fatalf("%v %v, %d closed", a, kind, len(rec.closing))
 	}
 }
 
-// Any order of events: bounds are kept, answers meet their own attempts, each attempt ends once, and none is
-// left without a connection, a dial or an end.
-func TestAnyOrder(t *testing.T) {
+// In any order of events the limits are kept, replies match their attempts, each attempt ends once, and none is left
+// without a connection, a dial or an end.
+func TestAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWire()
-		lim := Limits{Connections: rapid.IntRange(1, 3).Draw(t, "connections"), Pipeline: rapid.IntRange(1, 3).Draw(t, "pipeline")}
-		b := New(lim, w)
-		var open []*Link
-		answered, given := map[int]bool{}, map[int]bool{}
-		greetings := map[*Link]int{}
+		rec := newRecord()
+		limits := Limits{Connections: rapid.IntRange(1, 3).Draw(t, "connections"), Pipeline: rapid.IntRange(1, 3).Draw(t, "pipeline")}
+		pool := New(limits, rec)
+		var open []*Conn
+		answered, cancelled := map[int]bool{}, map[int]bool{}
+		greetings := map[*Conn]int{}
 		dialed, sent := 0, 0
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			switch rapid.IntRange(0, 6).Draw(t, "event") {
 			case 0, 1:
 				if sent < 200 {
-					b.Send(0, at(sent), []byte{byte(sent)}, till(0, 10))
+					pool.Send(0, attempt(sent), []byte{byte(sent)}, deadline(0, 10))
 					sent++
 				}
 			case 2:
-				if dialed < w.dials {
+				if dialed < rec.dials {
 					dialed++
 					n := rapid.IntRange(0, 2).Draw(t, "greetings")
-					l := b.Opened(0, nil, n)
-					greetings[l] = n
-					open = append(open, l)
+					conn := pool.Opened(0, nil, n)
+					greetings[conn] = n
+					open = append(open, conn)
 				}
 			case 3:
-				if dialed < w.dials && rapid.Bool().Draw(t, "fails") {
+				if dialed < rec.dials && rapid.Bool().Draw(t, "fails") {
 					dialed++
-					b.DialFailed(0, policy.ConnectFailed)
+					pool.DialFailed(0, policy.ConnectFailed)
 				}
 			case 4:
 				if len(open) == 0 {
 					continue
 				}
-				l := open[rapid.IntRange(0, len(open)-1).Draw(t, "link")]
-				switch a, k := b.Answered(0, l); {
-				case greetings[l] > 0:
-					if greetings[l]--; k != Greeting {
-						t.Fatalf("a greeting's answer was taken for %v", k)
+				conn := open[rapid.IntRange(0, len(open)-1).Draw(t, "link")]
+				switch a, kind := pool.MatchReply(0, conn); {
+				case greetings[conn] > 0:
+					if greetings[conn]--; kind != GreetingReply {
+						t.Fatalf("the reply to a greeting was matched as %v", kind)
 					}
-				case len(w.written[l]) == 0:
-					if k != Unexpected {
-						t.Fatalf("an answer to nothing was taken for %v", k)
+				case len(rec.written[conn]) == 0:
+					if kind != UnexpectedReply {
+						t.Fatalf("an unexpected reply was matched as %v", kind)
 					}
 				default:
-					first := w.written[l][0]
-					w.written[l] = w.written[l][1:]
-					if a.N != first || (k == Late) != given[first] {
-						t.Fatalf("the answer to %d went to %d as %v", first, a.N, k)
+					first := rec.written[conn][0]
+					rec.written[conn] = rec.written[conn][1:]
+					if a.N != first || (kind == LateReply) != cancelled[first] {
+						t.Fatalf("the reply to %d was matched to %d as %v", first, a.N, kind)
 					}
 					answered[first] = true
 				}
 			case 5:
 				if sent > 0 {
 					n := rapid.IntRange(0, sent-1).Draw(t, "attempt")
-					if _, over := w.ended[n]; !over && !answered[n] {
-						given[n] = true
-						b.Cancel(at(n))
+					if _, ended := rec.ended[n]; !ended && !answered[n] {
+						cancelled[n] = true
+						pool.Cancel(attempt(n))
 					}
 				}
 			case 6:
-				var l *Link
-				if len(w.closing) > 0 {
-					l, w.closing = w.closing[0], w.closing[1:]
+				var conn *Conn
+				if len(rec.closing) > 0 {
+					conn, rec.closing = rec.closing[0], rec.closing[1:]
 				} else if len(open) > 0 && rapid.Bool().Draw(t, "breaks") {
-					l = open[0]
+					conn = open[0]
 				}
-				for i, o := range open {
-					if o == l {
+				for i, other := range open {
+					if other == conn {
 						open = append(open[:i], open[i+1:]...)
-						b.Closed(0, l, math.MaxInt64)
+						pool.Closed(0, conn, math.MaxInt64)
 						break
 					}
 				}
 			}
-			if len(open)+w.dials-dialed > lim.Connections {
-				t.Fatalf("%d open, %d being opened, %d allowed", len(open), w.dials-dialed, lim.Connections)
+			if len(open)+rec.dials-dialed > limits.Connections {
+				t.Fatalf("%d open, %d being opened, limit %d", len(open), rec.dials-dialed, limits.Connections)
 			}
-			for _, l := range open {
-				if len(w.written[l]) > lim.Pipeline {
-					t.Fatalf("%d in line, %d allowed", len(w.written[l]), lim.Pipeline)
+			for _, conn := range open {
+				if len(rec.written[conn]) > limits.Pipeline {
+					t.Fatalf("%d attempts on one connection, limit %d", len(rec.written[conn]), limits.Pipeline)
 				}
 			}
-			if len(b.waiting) > 0 && len(open) == 0 && dialed == w.dials {
-				t.Fatalf("%d wait for nothing", len(b.waiting))
+			if len(pool.waiting) > 0 && len(open) == 0 && dialed == rec.dials {
+				t.Fatalf("%d attempts wait, and no connection is open or being opened", len(pool.waiting))
 			}
 		}
-		for ; dialed < w.dials; dialed++ {
-			b.DialFailed(0, policy.ConnectFailed)
+		for ; dialed < rec.dials; dialed++ {
+			pool.DialFailed(0, policy.ConnectFailed)
 		}
 		for len(open) > 0 {
-			l := open[0]
+			conn := open[0]
 			open = open[1:]
-			b.Closed(0, l, math.MaxInt64)
-			for ; dialed < w.dials; dialed++ {
-				b.DialFailed(0, policy.ConnectFailed)
+			pool.Closed(0, conn, math.MaxInt64)
+			for ; dialed < rec.dials; dialed++ {
+				pool.DialFailed(0, policy.ConnectFailed)
 			}
 		}
 		for n := range sent {
-			_, ended := w.ended[n]
-			if ends := btoi(ended) + btoi(answered[n]); ends > 1 && !given[n] || ends == 0 && !given[n] {
-				t.Fatalf("attempt %d has %d ends, given up: %v", n, ends, given[n])
+			_, ended := rec.ended[n]
+			if ends := btoi(ended) + btoi(answered[n]); ends > 1 && !cancelled[n] || ends == 0 && !cancelled[n] {
+				t.Fatalf("attempt %d has %d ends, cancelled: %v", n, ends, cancelled[n])
 			}
 		}
-		if b.Out() != 0 {
-			t.Fatalf("%d attempts are left", b.Out())
+		if pool.InFlight() != 0 {
+			t.Fatalf("%d attempts are left", pool.InFlight())
 		}
 	})
 }
@@ -204,225 +204,226 @@
 	return 0
 }
 
-// What could not be written in time, or was given up before, is taken off its connection: no answer is awaited
-// for it, the next answer meets the next attempt, and of its end it is told that it never ran.
+// An attempt that could not be written in time, or was cancelled before, is taken off its connection: no reply is awaited
+// for it, the next reply goes to the next attempt, and its end is reported as one that never ran.
 func TestTooLateToWrite(t *testing.T) {
-	w := newWire()
-	b := New(Limits{Connections: 1, Pipeline: 8}, w)
-	b.Send(0, at(0), []byte{0}, till(0, 10))
-	l := b.Opened(0, nil, 1)
+	rec := newRecord()
+	pool := New(Limits{Connections: 1, Pipeline: 8}, rec)
+	pool.Send(0, attempt(0), []byte{0}, deadline(0, 10))
+	conn := pool.Opened(0, nil, 1)
 	for n, until := range []float64{1: 10, 2: 14.5, 3: 14.5, 4: 14.5} {
 		if n > 0 {
-			b.Send(0, at(n), []byte{byte(n)}, till(0, until))
+			pool.Send(0, attempt(n), []byte{byte(n)}, deadline(0, until))
 		}
 	}
-	b.Cancel(at(2))
+	pool.Cancel(attempt(2))
 	for n, want := range []bool{false, false, false, true, true} {
-		if got := writing(b, 14, l, n); got != want {
+		if got := startWrite(pool, 14, conn, n); got != want {
 			t.Errorf("attempt %d: %v, want %v", n, got, want)
 		}
 	}
-	if len(w.ended) != 2 || w.ended[0] != policy.ConnectFailed || w.ended[1] != policy.ConnectFailed {
-		t.Fatalf("ended %v", w.ended)
+	if len(rec.ended) != 2 || rec.ended[0] != policy.ConnectFailed || rec.ended[1] != policy.ConnectFailed {
+		t.Fatalf("ended %v", rec.ended)
 	}
 	for _, want := range []struct {
-		a core.Attempt
-		k Kind
-	}{{core.Attempt{}, Greeting}, {at(3), Live}, {at(4), Live}, {core.Attempt{}, Unexpected}} {
-		if a, k := b.Answered(0, l); a != want.a || k != want.k {
-			t.Fatalf("%v %v, want %v", a, k, want)
+		attempt core.Attempt
+		kind    ReplyKind
+	}{{core.Attempt{}, GreetingReply}, {attempt(3), AttemptReply}, {attempt(4), AttemptReply}, {core.Attempt{}, UnexpectedReply}} {
+		if a, kind := pool.MatchReply(0, conn); a != want.attempt || kind != want.kind {
+			t.Fatalf("%v %v, want %v", a, kind, want)
 		}
 	}
-	b.Send(0, at(5), []byte{5}, till(0, 20))
-	b.Closed(0, l, math.MaxInt64)
-	if _, ended := w.ended[5]; writing(b, 14, l, 5) || ended || w.dials != 2 {
-		t.Error("what was never written has an end, or no new connection")
+	pool.Send(0, attempt(5), []byte{5}, deadline(0, 20))
+	pool.Closed(0, conn, math.MaxInt64)
+	if _, ended := rec.ended[5]; startWrite(pool, 14, conn, 5) || ended || rec.dials != 2 {
+		t.Error("an unwritten attempt has ended, or no new connection is opened for it")
 	}
-	again := b.Opened(0, nil, 0)
-	if !writing(b, 14, again, 5) {
-		t.Error("what was never written is not written on the new connection")
+	next := pool.Opened(0, nil, 0)
+	if !startWrite(pool, 14, next, 5) {
+		t.Error("an unwritten attempt is not written on the new connection")
 	}
-	b.Closed(0, again, math.MaxInt64)
-	if w.ended[5] != policy.Reset {
-		t.Errorf("written, and the connection ended: %v", w.ended)
+	pool.Closed(0, next, math.MaxInt64)
+	if rec.ended[5] != policy.Reset {
+		t.Errorf("written, and the connection ended: %v", rec.ended)
 	}
 }
 
-// A connection that has answered is left alone for a while, and used all the same where no other can be had.
-func TestRestsAfterAnAnswer(t *testing.T) {
-	w := newWire()
-	b := New(Limits{Connections: 2, Pipeline: 1, RestS: 1}, w)
-	b.Send(0, at(0), []byte{0}, till(0, 10))
-	x := b.Opened(0, nil, 0)
-	b.Answered(2, x)
-	b.Send(2.5, at(1), []byte{1}, till(2.5, 10))
-	if w.dials != 2 || len(w.written[x]) != 1 {
-		t.Fatalf("used while it rests: %d dials, written %v", w.dials, w.written[x])
-	}
-	y := b.Opened(2.5, nil, 0)
-	b.Send(2.6, at(2), []byte{2}, till(2.6, 10))
-	if len(w.written[x]) != 2 {
-		t.Fatalf("no other can be had, and it is not used: %v", w.written[x])
-	}
-	b.Answered(2.7, x)
-	b.Answered(2.7, y)
-	b.Send(4, at(3), []byte{3}, till(4, 10))
-	if w.dials != 2 || len(w.written[x]) != 3 {
-		t.Fatalf("rested and not used: %d dials, written %v", w.dials, w.written[x])
+// A connection that has received a reply is not used for Limits.RestS, unless no other connection is available.
+func TestReuseDelay(t *testing.T) {
+	rec := newRecord()
+	pool := New(Limits{Connections: 2, Pipeline: 1, RestS: 1}, rec)
+	pool.Send(0, attempt(0), []byte{0}, deadline(0, 10))
+	first := pool.Opened(0, nil, 0)
+	pool.MatchReply(2, first)
+	pool.Send(2.5, attempt(1), []byte{1}, deadline(2.5, 10))
+	if rec.dials != 2 || len(rec.written[first]) != 1 {
+		t.Fatalf("used within the delay: %d dials, written %v", rec.dials, rec.written[first])
+	}
+	second := pool.Opened(2.5, nil, 0)
+	pool.Send(2.6, attempt(2), []byte{2}, deadline(2.6, 10))
+	if len(rec.written[first]) != 2 {
+		t.Fatalf("not used although no other connection is available: %v", rec.written[first])
+	}
+	pool.MatchReply(2.7, first)
+	pool.MatchReply(2.7, second)
+	pool.Send(4, attempt(3), []byte{3}, deadline(4, 10))
+	if rec.dials != 2 || len(rec.written[first]) != 3 {
+		t.Fatalf("not used after the delay: %d dials, written %v", rec.dials, rec.written[first])
 	}
 }
 
-// A connection that has brought what nobody awaits, or has ended, is not written to: the attempt goes elsewhere.
+// Nothing is written to a connection that has received unexpected data or has ended: the attempt moves to another one.
 func TestStaleBeforeWriting(t *testing.T) {
-	w := newWire()
-	b := New(Limits{Connections: 1, Pipeline: 2}, w)
-	b.Send(0, at(0), []byte{0}, till(0, 10))
-	x := b.Opened(0, nil, 0)
-	if !writing(b, 0, x, 0) {
+	rec := newRecord()
+	pool := New(Limits{Connections: 1, Pipeline: 2}, rec)
+	pool.Send(0, attempt(0), []byte{0}, deadline(0, 10))
+	first := pool.Opened(0, nil, 0)
+	if !startWrite(pool, 0, first, 0) {
 		t.Fatal("not written")
 	}
-	b.Send(0, at(1), []byte{1}, till(0, 10))
-	if b.Stale(0, x, 1) {
-		t.Fatal("stale under an attempt that is out: its answer may be what has come")
+	pool.Send(0, attempt(1), []byte{1}, deadline(0, 10))
+	if pool.ReplaceStale(0, first, 1) {
+		t.Fatal("replaced while an attempt is in flight: the data may be its reply")
 	}
-	b.Answered(1, x)
-	if !b.Stale(1, x, 1) || len(w.closing) != 1 {
-		t.Fatalf("still in use, %d closed", len(w.closing))
+	pool.MatchReply(1, first)
+	if !pool.ReplaceStale(1, first, 1) || len(rec.closing) != 1 {
+		t.Fatalf("still in use, %d closed", len(rec.closing))
 	}
-	b.Closed(1, x, math.MaxInt64)
-	y := b.Opened(1, nil, 0)
-	if !writing(b, 1, y, 1) || len(w.ended) != 0 {
-		t.Fatalf("the attempt is lost: ended %v", w.ended)
+	pool.Closed(1, first, math.MaxInt64)
+	second := pool.Opened(1, nil, 0)
+	if !startWrite(pool, 1, second, 1) || len(rec.ended) != 0 {
+		t.Fatalf("the attempt is lost: ended %v", rec.ended)
 	}
 }
 
-// To a box that drains goes nothing that was not written: neither what waits for a connection nor what stands in line.
-func TestDrains(t *testing.T) {
-	w := newWire()
-	b := New(Limits{Connections: 2, Pipeline: 1}, w)
-	b.Send(0, at(0), []byte{0}, till(0, 10))
-	x := b.Opened(0, nil, 0)
-	b.Send(0, at(1), []byte{1}, till(0, 10)) // waits for the second connection
-	b.Drain()
-	if w.ended[1] != policy.Moot {
-		t.Fatalf("what waits for a connection: %v", w.ended)
-	}
-	if writing(b, 0, x, 0) || w.ended[0] != policy.Moot {
-		t.Fatalf("what stands in line: %v", w.ended)
-	}
-	if b.Send(0, at(2), []byte{2}, till(0, 10)); w.ended[2] != policy.Moot {
-		t.Fatalf("what is sent later: %v", w.ended)
-	}
-	b.Opened(0, nil, 0)
-	if b.Listed(); w.dials != 2 {
-		t.Fatalf("%d dials", w.dials)
-	}
-	b.Send(0, at(3), []byte{3}, till(0, 10))
-	if !writing(b, 0, x, 3) {
+// A draining server gets no unwritten attempt, whether it waits for a connection or is queued on one.
+func TestDrain(t *testing.T) {
+	rec := newRecord()
+	pool := New(Limits{Connections: 2, Pipeline: 1}, rec)
+	pool.Send(0, attempt(0), []byte{0}, deadline(0, 10))
+	conn := pool.Opened(0, nil, 0)
+	pool.Send(0, attempt(1), []byte{1}, deadline(0, 10)) // waits for the second connection
+	pool.Drain()
+	if rec.ended[1] != policy.Moot {
+		t.Fatalf("attempt waiting for a connection: %v", rec.ended)
+	}
+	if startWrite(pool, 0, conn, 0) || rec.ended[0] != policy.Moot {
+		t.Fatalf("attempt queued on a connection: %v", rec.ended)
+	}
+	if pool.Send(0, attempt(2), []byte{2}, deadline(0, 10)); rec.ended[2] != policy.Moot {
+		t.Fatalf("attempt sent later: %v", rec.ended)
+	}
+	pool.Opened(0, nil, 0)
+	if pool.Relist(); rec.dials != 2 {
+		t.Fatalf("%d dials", rec.dials)
+	}
+	pool.Send(0, attempt(3), []byte{3}, deadline(0, 10))
+	if !startWrite(pool, 0, conn, 3) {
 		t.Fatal("listed again and not used")
 	}
 }
 
-// Idle connections are closed before the box does so, and not used while that is under way.
-func TestIdleConnectionsGo(t *testing.T) {
-	w := newWire()
-	b := New(Limits{Connections: 1, Pipeline: 1, IdleS: 5}, w)
-	b.Send(0, at(0), []byte{0}, till(0, 100))
-	x := b.Opened(0, nil, 0)
-	b.Sweep(20) // out: not idle
-	b.Answered(20, x)
-	if b.Sweep(24); len(w.closing) != 0 {
+// Idle connections are closed before the server closes them, and are not used while they are being closed.
+func TestIdleConnectionsAreClosed(t *testing.T) {
+	rec := newRecord()
+	pool := New(Limits{Connections: 1, Pipeline: 1, IdleS: 5}, rec)
+	pool.Send(0, attempt(0), []byte{0}, deadline(0, 100))
+	conn := pool.Opened(0, nil, 0)
+	pool.CloseIdle(20) // an attempt is in flight: not idle
+	pool.MatchReply(20, conn)
+	if pool.CloseIdle(24); len(rec.closing) != 0 {
 		t.Fatal("closed early")
 	}
-	b.Send(25.5, at(1), []byte{1}, till(25.5, 100))
-	if len(w.closing) != 1 || len(w.written[x]) != 1 {
-		t.Fatalf("written to a connection about to end: %v, %d closed", w.written[x], len(w.closing))
+	pool.Send(25.5, attempt(1), []byte{1}, deadline(25.5, 100))
+	if len(rec.closing) != 1 || len(rec.written[conn]) != 1 {
+		t.Fatalf("written to a connection that is about to end: %v, %d closed", rec.written[conn], len(rec.closing))
 	}
-	if b.Closed(25.6, x, math.MaxInt64); w.dials != 2 {
-		t.Fatalf("%d dials, the attempt is left without one", w.dials)
+	if pool.Closed(25.6, conn, math.MaxInt64); rec.dials != 2 {
+		t.Fatalf("%d dials, want one for the attempt that waits", rec.dials)
 	}
 }
 
-// A dial that fails ends what waited for it, though a busy connection stands: it may never answer.
+// A failed dial ends the attempts that waited for it even if a busy connection is open: that one may never reply.
 func TestDialFailsBesideABusyConnection(t *testing.T) {
-	w := newWire()
-	b := New(Limits{Connections: 2, Pipeline: 1}, w)
-	b.Send(0, at(0), []byte{0}, till(0, 10))
-	b.Opened(0, nil, 0)
-	b.Send(0, at(1), []byte{1}, till(0, 10))
-	if b.DialFailed(0.2, policy.ConnectFailed); w.ended[1] != policy.ConnectFailed {
-		t.Fatalf("ended %v", w.ended)
+	rec := newRecord()
+	pool := New(Limits{Connections: 2, Pipeline: 1}, rec)
+	pool.Send(0, attempt(0), []byte{0}, deadline(0, 10))
+	pool.Opened(0, nil, 0)
+	pool.Send(0, attempt(1), []byte{1}, deadline(0, 10))
+	if pool.DialFailed(0.2, policy.ConnectFailed); rec.ended[1] != policy.ConnectFailed {
+		t.Fatalf("ended %v", rec.ended)
 	}
 }
 
-// A command of which the system took all but a byte never ran when its connection breaks: it goes out whole over another
-// one. The one before it, taken whole, may have run.
-func TestWrittenInPart(t *testing.T) {
-	w := newWire()
-	b := New(Limits{Connections: 1, Pipeline: 2}, w)
-	b.Send(0, at(0), []byte{0}, till(0, 10))
-	b.Send(0, at(1), []byte{1}, till(0, 10))
-	x := b.Opened(0, nil, 0)
+// A command that was sent but for its last byte never ran when its connection breaks: it is sent whole over another one.
+// The command before it, sent whole, may have run.
+func TestPartlyWritten(t *testing.T) {
+	rec := newRecord()
+	pool := New(Limits{Connections: 1, Pipeline: 2}, rec)
+	pool.Send(0, attempt(0), []byte{0}, deadline(0, 10))
+	pool.Send(0, attempt(1), []byte{1}, deadline(0, 10))
+	first := pool.Opened(0, nil, 0)
 	for n, end := range []int64{100, 200} {
-		if !writing(b, 0, x, n) {
+		if !startWrite(pool, 0, first, n) {
 			t.Fatalf("%d is not written", n)
 		}
-		x.Wrote(at(n), end)
+		first.SetEndOffset(attempt(n), end)
 	}
-	b.Closed(0, x, 199)
-	if _, ended := w.ended[1]; w.ended[0] != policy.Reset || ended || w.dials != 2 {
-		t.Fatalf("ended %v, %d dials", w.ended, w.dials)
+	pool.Closed(0, first, 199)
+	if _, ended := rec.ended[1]; rec.ended[0] != policy.Reset || ended || rec.dials != 2 {
+		t.Fatalf("ended %v, %d dials", rec.ended, rec.dials)
 	}
-	y := b.Opened(0, nil, 0)
-	if len(w.written[y]) != 1 || !writing(b, 0, y, 1) {
-		t.Fatalf("written %v", w.written[y])
+	second := pool.Opened(0, nil, 0)
+	if len(rec.written[second]) != 1 || !startWrite(pool, 0, second, 1) {
+		t.Fatalf("written %v", rec.written[second])
 	}
-	y.Wrote(at(1), 100)
-	if b.Closed(0, y, 100); w.ended[1] != policy.Reset {
-		t.Fatalf("taken whole: %v", w.ended)
+	second.SetEndOffset(attempt(1), 100)
+	if pool.Closed(0, second, 100); rec.ended[1] != policy.Reset {
+		t.Fatalf("sent whole: %v", rec.ended)
 	}
 }
 
-// A box that is gone and listed again is another one, as is one that is reached elsewhere: no connection of before is used.
+// A server that was removed and is listed again is a new one, and so is a server with a new address: the connections
+// opened before are not used.
 func TestListedAgain(t *testing.T) {
-	w := newWire()
-	b := New(Limits{Connections: 2, Pipeline: 1}, w)
-	b.Send(0, at(0), []byte{0}, till(0, 10))
-	x := b.Opened(0, nil, 0)
-	if !writing(b, 0, x, 0) {
+	rec := newRecord()
+	pool := New(Limits{Connections: 2, Pipeline: 1}, rec)
+	pool.Send(0, attempt(0), []byte{0}, deadline(0, 10))
+	old := pool.Opened(0, nil, 0)
+	if !startWrite(pool, 0, old, 0) {
 		t.Fatal("not written")
 	}
-	b.Retire()
-	b.Listed()
-	b.Answered(1, x)
-	if len(w.closing) != 1 {
-		t.Fatal("the connection of before stays")
+	pool.Retire()
+	pool.Relist()
+	pool.MatchReply(1, old)
+	if len(rec.closing) != 1 {
+		t.Fatal("the old connection stays open")
 	}
-	b.Closed(1, x, math.MaxInt64)
-	b.Send(2, at(1), []byte{1}, till(2, 10)) // a dial is on its way when the box moves
-	b.Renew()
-	if b.Misdialed(); w.dials != 3 {
-		t.Fatalf("%d dials, want another one to where the box is now", w.dials)
+	pool.Closed(1, old, math.MaxInt64)
+	pool.Send(2, attempt(1), []byte{1}, deadline(2, 10)) // the address changes while a connection is being opened
+	pool.RetireConnections()
+	if pool.DialedOldAddress(); rec.dials != 3 {
+		t.Fatalf("%d dials, want another one to the new address", rec.dials)
 	}
-	if y := b.Opened(2, nil, 0); len(w.written[y]) != 1 {
-		t.Fatalf("written %v", w.written)
+	if conn := pool.Opened(2, nil, 0); len(rec.written[conn]) != 1 {
+		t.Fatalf("written %v", rec.written)
 	}
 }
 
-// The box is not to blame.
-func TestTooLateToBegin(t *testing.T) {
-	w := newWire()
-	b := New(Limits{Connections: 1, Pipeline: 1}, w)
-	b.Send(0, at(0), []byte{0}, policy.Timing{StartS: 0.2, AnswerS: 10})
-	l := b.Opened(0.3, w, 0)
-	if _, may := b.Writing(0.3, l, at(0)); may {
-		t.Error("begun after its time")
-	}
-	if w.ended[0] != policy.Moot {
-		t.Errorf("ended as %v, want not sent", w.ended[0])
-	}
-	b.Send(1, at(1), []byte{1}, policy.Timing{StartS: 0.2, AnswerS: 10})
-	if left, may := b.Writing(1.1, l, at(1)); !may || left < 9.8 || left > 9.91 {
-		t.Errorf("%v s are left for its answer, may begin %v", left, may)
+// An attempt that is not written within its time to start ends as policy.Moot: the server is not at fault.
+func TestTooLateToStart(t *testing.T) {
+	rec := newRecord()
+	pool := New(Limits{Connections: 1, Pipeline: 1}, rec)
+	pool.Send(0, attempt(0), []byte{0}, policy.Timing{StartS: 0.2, AnswerS: 10})
+	conn := pool.Opened(0.3, rec, 0)
+	if _, ok := pool.StartWrite(0.3, conn, attempt(0)); ok {
+		t.Error("started after its time")
+	}
+	if rec.ended[0] != policy.Moot {
+		t.Errorf("ended as %v, want not sent", rec.ended[0])
+	}
+	pool.Send(1, attempt(1), []byte{1}, policy.Timing{StartS: 0.2, AnswerS: 10})
+	if remaining, ok := pool.StartWrite(1.1, conn, attempt(1)); !ok || remaining < 9.8 || remaining > 9.91 {
+		t.Errorf("%v s remain for its reply, may start %v", remaining, ok)
 	}
 }
