--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -42,24 +42,24 @@
 	AppendProbe(dst []byte) []byte
 	// Reply parses the reply to an attempt. Malformed means that it is not a valid reply: the attempt may have run, and
 	// the connection must be closed. The payload of the result must not alias reply.
-	Reply(reply []byte) (result core.Result, malformed bool)
+	ParseReply(reply []byte) (result core.Result, malformed bool)
 	// Load parses the reply to a probe; nil if it holds no known value.
-	Load(reply []byte) *policy.Load
+	ParseLoad(reply []byte) *policy.Load
 	// Limits returns the limits on the size of a reply.
 	Limits() resp.Limits
 }
 
 // Options are the settings of a Pool. Times are in seconds.
 type Options struct {
-	Dialect     Dialect
-	Connections int           // to one server at the same time, at least 1
-	Total       int           // to all servers, which share it evenly; connections for probes are not counted; 0: no limit
-	Pipeline    int           // attempts on one connection at the same time, at least 1
-	Connect     time.Duration // timeout for opening a connection
-	RestS       float64       // see links.Limits
-	IdleS       float64       // see links.Limits; 0: no limit
-	Strict      bool          // a probe connection is closed when an unexpected reply comes
-	Loops       int           // event loops, at least 1
+	Dialect             Dialect
+	Connections         int           // to one server at the same time, at least 1
+	MaxTotalConnections int           // to all servers, which share it evenly; connections for probes are not counted; 0: no limit
+	Pipeline            int           // attempts on one connection at the same time, at least 1
+	ConnectTimeout      time.Duration // timeout for opening a connection
+	ReuseDelayS         float64       // see links.Limits
+	IdleTimeoutS        float64       // see links.Limits; 0: no limit
+	StrictProbes        bool          // a probe connection is closed when an unexpected reply comes
+	Loops               int           // event loops, at least 1
 	// DialContext opens a connection; nil: over TCP.
 	DialContext func(ctx context.Context, network, addr string) (net.Conn, error)
 	Log         zerolog.Logger
@@ -68,9 +68,9 @@
 // Counts are totals since the start, and the number of open connections.
 type Counts struct {
 	Dials, DialsFailed uint64 // connections that were dialed, and dials that failed
-	Broken             uint64 // attempts that may have run when their connection ended
-	Late               uint64 // replies to attempts that had been cancelled
-	Open               int64  // connections that are open now
+	AttemptsBroken     uint64 // attempts that may have run when their connection ended
+	LateReplies        uint64 // replies to attempts that had been cancelled
+	OpenConnections    int64  // connections that are open now
 }
 
 // Pool holds the connections to all servers.
@@ -114,7 +114,7 @@
 		cancel()
 		return nil, fmt.Errorf("starting the event loops for servers: %w", err)
 	}
-	if opt.IdleS > 0 {
+	if opt.IdleTimeoutS > 0 {
 		pool.background.Add(1)
 		go pool.closeIdle()
 	}
@@ -136,7 +136,7 @@
 		for _, srv := range pool.servers {
 			srv.mu.Lock()
 			srv.conns.CloseIdle(pool.now())
-			if srv.probeConn != nil && srv.probing == nil && pool.now()-srv.probeConn.usedAt > pool.opt.IdleS {
+			if srv.probeConn != nil && srv.probing == nil && pool.now()-srv.probeConn.usedAt > pool.opt.IdleTimeoutS {
 				srv.probeConn.socket.Close()
 			}
 			srv.mu.Unlock()
@@ -159,9 +159,9 @@
 	}
 }
 
-// Located sets the addresses of servers whose names are not their addresses. It must be called before Servers lists them.
+// SetAddresses sets the addresses of servers whose names are not their addresses. It must be called before Servers lists them.
 // An address is kept until its server is removed. If the address of a server changes, new connections go to the new one.
-func (pool *Pool) Located(addresses map[string]string) {
+func (pool *Pool) SetAddresses(addresses map[string]string) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	for name, addr := range addresses {
@@ -218,8 +218,8 @@
 		listed[entry.ID] = true
 		if srv := pool.servers[entry.ID]; srv == nil {
 			srv = &server{pool: pool, name: entry.ID, addr: cmp.Or(pool.addresses[entry.ID], entry.ID)}
-			srv.conns = links.New(links.Limits{Connections: pool.opt.Connections, Pipeline: pool.opt.Pipeline, RestS: pool.opt.RestS,
-				IdleS: pool.opt.IdleS}, (*effects)(srv))
+			srv.conns = links.New(links.Limits{Connections: pool.opt.Connections, Pipeline: pool.opt.Pipeline, ReuseDelayS: pool.opt.ReuseDelayS,
+				IdleTimeoutS: pool.opt.IdleTimeoutS}, (*effects)(srv))
 			pool.servers[entry.ID] = srv
 		}
 		srv := pool.servers[entry.ID]
@@ -237,8 +237,8 @@
 		}
 	}
 	pool.removeRetired()
-	if pool.opt.Total > 0 {
-		share := min(pool.opt.Connections, max(1, pool.opt.Total/max(1, len(pool.servers))))
+	if pool.opt.MaxTotalConnections > 0 {
+		share := min(pool.opt.Connections, max(1, pool.opt.MaxTotalConnections/max(1, len(pool.servers))))
 		for _, srv := range pool.servers {
 			srv.mu.Lock()
 			srv.conns.SetMaxConnections(share)
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -113,7 +113,7 @@
 func setup(t *testing.T, change func(*Options), addrs ...string) (*Pool, *resultSink) {
 	t.Helper()
 	sink := &resultSink{make(chan core.Result, 1000), make(chan policy.ProbeResult, 100)}
-	opt := Options{Dialect: Boxes{Name: "t"}, Connections: 2, Pipeline: 2, Connect: 5 * time.Second, Loops: 1, Log: zerolog.Nop()}
+	opt := Options{Dialect: RESP{Name: "t"}, Connections: 2, Pipeline: 2, ConnectTimeout: 5 * time.Second, Loops: 1, Log: zerolog.Nop()}
 	if change != nil {
 		change(&opt)
 	}
@@ -232,8 +232,8 @@
 	sink.expect(t, 2, policy.Full, "")
 	_, _ = cmd.conn.Write([]byte("+zero\r\n+one\r\n"))
 	sink.expect(t, 1, policy.OK, "+one\r\n")
-	if pool.Counts().Late != 1 {
-		t.Errorf("%d late, want 1", pool.Counts().Late)
+	if pool.Counts().LateReplies != 1 {
+		t.Errorf("%d late, want 1", pool.Counts().LateReplies)
 	}
 	pool.Send(attempt(3), addr, doCommand(3), within(10)) // the connection is free again
 	cmd = srv.next(t)
@@ -250,7 +250,7 @@
 	cmd := srv.next(t)
 	pool.Cancel(attempt(0), addr)
 	_ = cmd.conn.SetReadDeadline(time.Now().Add(20 * time.Second))
-	for end := time.Now().Add(20 * time.Second); pool.Counts().Open > 0; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); pool.Counts().OpenConnections > 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the connection stays open")
 		}
@@ -261,7 +261,7 @@
 func TestProbes(t *testing.T) {
 	srv := newTestServer(t)
 	addr := srv.listener.Addr().String()
-	pool, sink := setup(t, func(opt *Options) { opt.Connect = 200 * time.Millisecond }, addr)
+	pool, sink := setup(t, func(opt *Options) { opt.ConnectTimeout = 200 * time.Millisecond }, addr)
 	pool.Probe(addr)
 	cmd := srv.next(t)
 	if strings.Join(cmd.words, " ") != "INFO" {
@@ -278,7 +278,7 @@
 		t.Fatalf("%+v", result)
 	}
 	srv.listener.Close()
-	for end := time.Now().Add(20 * time.Second); pool.Counts().Open > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(20 * time.Second); pool.Counts().OpenConnections > 0 && time.Now().Before(end); {
 		time.Sleep(5 * time.Millisecond)
 	}
 	pool.Probe(addr)
@@ -291,7 +291,7 @@
 func TestLoadInReplies(t *testing.T) {
 	srv := newTestServer(t)
 	addr := srv.listener.Addr().String()
-	pool, sink := setup(t, func(opt *Options) { opt.Dialect = Boxes{Name: "t", ByAnswer: true} }, addr)
+	pool, sink := setup(t, func(opt *Options) { opt.Dialect = RESP{Name: "t", LoadInReplies: true} }, addr)
 	pool.Send(attempt(0), addr, doCommand(0), within(10))
 	_, _ = srv.next(t).conn.Write([]byte("|1\r\n+util\r\n,0.5\r\n+OK\r\n"))
 	if result := sink.expect(t, 0, policy.OK, "+OK\r\n"); result.Load == nil || result.Load.Util != 0.5 {
@@ -309,7 +309,7 @@
 	pool.Servers(nil, true)
 	_, _ = cmd.conn.Write([]byte("+OK\r\n"))
 	sink.expect(t, 0, policy.OK, "+OK\r\n")
-	for end := time.Now().Add(20 * time.Second); pool.Counts().Open > 0; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); pool.Counts().OpenConnections > 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the connection stays open")
 		}
@@ -365,7 +365,7 @@
 	pool.Send(attempt(1), addr, doCommand(1), within(10))
 	pool.Cancel(attempt(1), addr)
 	close(dialer.allow)
-	waitUntil(t, "the connections are open", func() bool { return pool.Counts().Open == 2 })
+	waitUntil(t, "the connections are open", func() bool { return pool.Counts().OpenConnections == 2 })
 	pool.Send(attempt(2), addr, doCommand(2), within(10))
 	cmd := srv.next(t)
 	if cmd.words[1] != "2" {
@@ -424,7 +424,7 @@
 }
 
 // noGreeting is a dialect that sends payloads unchanged and has no greeting.
-type noGreeting struct{ Boxes }
+type noGreeting struct{ RESP }
 
 func (noGreeting) Greeting() ([]byte, int) { return nil, 0 }
 
@@ -486,7 +486,7 @@
 	if received += int(rest); received >= len(large) {
 		t.Errorf("the server received all %d bytes of a cancelled attempt", received)
 	}
-	waitUntil(t, "the connection is closed", func() bool { return pool.Counts().Open == 0 })
+	waitUntil(t, "the connection is closed", func() bool { return pool.Counts().OpenConnections == 0 })
 }
 
 // When the address of a server changes while a connection is being opened, and again while one is open, nothing is sent to
@@ -495,15 +495,15 @@
 	first, second := newTestServer(t), newTestServer(t)
 	dialer := &delayedDialer{make(chan struct{})}
 	pool, sink := setup(t, func(opt *Options) { opt.DialContext = dialer.dial })
-	pool.Located(map[string]string{"box": first.listener.Addr().String()})
+	pool.SetAddresses(map[string]string{"box": first.listener.Addr().String()})
 	pool.Servers([]policy.Server{{ID: "box"}}, true)
 	pool.Send(attempt(0), "box", doCommand(0), within(20))
-	pool.Located(map[string]string{"box": second.listener.Addr().String()})
+	pool.SetAddresses(map[string]string{"box": second.listener.Addr().String()})
 	close(dialer.allow)
 	cmd := second.next(t)
 	_, _ = cmd.conn.Write([]byte("+OK\r\n"))
 	sink.expect(t, 0, policy.OK, "+OK\r\n")
-	pool.Located(map[string]string{"box": first.listener.Addr().String()})
+	pool.SetAddresses(map[string]string{"box": first.listener.Addr().String()})
 	pool.Send(attempt(1), "box", doCommand(1), within(20))
 	cmd = first.next(t)
 	_, _ = cmd.conn.Write([]byte("+OK\r\n"))
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -56,7 +56,7 @@
 	conn.outgoing = nil
 	var buf []byte
 	pool, now := srv.pool, srv.pool.now()
-	if conn.state == nil || !conn.closed && pool.opt.RestS > 0 && conn.socket.Unread() &&
+	if conn.state == nil || !conn.closed && pool.opt.ReuseDelayS > 0 && conn.socket.HasUnread() &&
 		srv.conns.ReplaceStale(now, conn.state, len(queued)) {
 		srv.mu.Unlock()
 		return
@@ -142,13 +142,13 @@
 			continue // a push message is not a reply to a command
 		}
 		if conn.forProbes {
-			if conn.greetings--; conn.greetings < 0 && !conn.server.endProbe(policy.OK, pool.opt.Dialect.Load(reply)) && pool.opt.Strict {
+			if conn.greetings--; conn.greetings < 0 && !conn.server.endProbe(policy.OK, pool.opt.Dialect.ParseLoad(reply)) && pool.opt.StrictProbes {
 				action = eventloop.Close
 				break
 			}
 			continue
 		}
-		result, malformed := pool.opt.Dialect.Reply(reply)
+		result, malformed := pool.opt.Dialect.ParseReply(reply)
 		if malformed {
 			pool.opt.Log.Warn().Str("box", conn.server.name).Msg("server sent a malformed reply; closing the connection")
 			action = eventloop.Close // OnClose ends the attempts on this connection
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -15,7 +15,7 @@
 	addr := srv.addr
 	go func() {
 		defer pool.background.Done()
-		ctx, cancel := context.WithTimeout(pool.ctx, pool.opt.Connect)
+		ctx, cancel := context.WithTimeout(pool.ctx, pool.opt.ConnectTimeout)
 		defer cancel()
 		conn := &connection{server: srv, forProbes: forProbes, addr: addr}
 		if err := syserr.Retry(ctx, syserr.Local, func() error { return pool.connect(ctx, conn) }); err != nil {
--- a/internal/backend/probe.go
+++ b/internal/backend/probe.go
@@ -27,7 +27,7 @@
 	started := &probe{startedAt: time.Now()}
 	srv.probing = started
 	pool.background.Add(1)
-	started.timeout = time.AfterFunc(2*pool.opt.Connect, func() {
+	started.timeout = time.AfterFunc(2*pool.opt.ConnectTimeout, func() {
 		defer pool.background.Done()
 		srv.mu.Lock()
 		if srv.probing != started {
--- a/internal/backend/reply.go
+++ b/internal/backend/reply.go
@@ -10,26 +10,26 @@
 	"cometpond/policy"
 )
 
-// Boxes is the dialect of plain RESP servers. The greeting tells them the name of this instance, and they reply to INFO
+// RESP is the dialect of plain RESP servers. The greeting tells them the name of this instance, and they reply to INFO
 // with their load. A reply is passed to the client, unless it is an error that says nothing about the client's command.
-type Boxes struct {
-	Name     string // of this instance, sent with CLIENT SETNAME
-	ByAnswer bool   // replies carry the load as an attribute, which only version 3 of the protocol has
+type RESP struct {
+	Name          string // of this instance, sent with CLIENT SETNAME
+	LoadInReplies bool   // replies carry the load as an attribute, which only version 3 of the protocol has
 }
 
 // maxReplyBytes bounds one string of a reply.
 const maxReplyBytes = 8 << 20
 
 // Limits returns wide limits: what a server replies to a command is not this gateway's concern.
-func (Boxes) Limits() resp.Limits {
+func (RESP) Limits() resp.Limits {
 	limits := resp.DefaultLimits
 	limits.Bulk, limits.Args = maxReplyBytes, 1<<16
 	return limits
 }
 
 // Greeting returns the commands that set the protocol version and the name of this instance.
-func (rd Boxes) Greeting() (commands []byte, replies int) {
-	if rd.ByAnswer {
+func (rd RESP) Greeting() (commands []byte, replies int) {
+	if rd.LoadInReplies {
 		commands = resp.AppendCommand(commands, "HELLO", "3")
 		replies++
 	}
@@ -38,7 +38,7 @@
 
 // AppendAttempt appends the client's command unchanged. If dst is empty, it returns the payload without copying it, as it
 // may be large.
-func (Boxes) AppendAttempt(dst, payload []byte, _ float64) []byte {
+func (RESP) AppendAttempt(dst, payload []byte, _ float64) []byte {
 	if len(dst) == 0 {
 		return payload[:len(payload):len(payload)] // so that a later append does not write into the payload's array
 	}
@@ -46,10 +46,10 @@
 }
 
 // AppendProbe appends the command INFO.
-func (Boxes) AppendProbe(dst []byte) []byte { return resp.AppendCommand(dst, "INFO") }
+func (RESP) AppendProbe(dst []byte) []byte { return resp.AppendCommand(dst, "INFO") }
 
-// Reply classifies a reply and extracts the load that it carries. It never reports a reply as malformed.
-func (rd Boxes) Reply(reply []byte) (result core.Result, malformed bool) {
+// ParseReply classifies a reply and extracts the load that it carries. It never reports a reply as malformed.
+func (rd RESP) ParseReply(reply []byte) (result core.Result, malformed bool) {
 	limits := rd.Limits()
 	attribute, body := resp.SplitAttribute(reply, limits)
 	if attribute != nil {
@@ -61,8 +61,8 @@
 	return result, false
 }
 
-// Load parses the reply to INFO.
-func (rd Boxes) Load(reply []byte) *policy.Load { return parseInfo(resp.Text(reply, rd.Limits())) }
+// ParseLoad parses the reply to INFO.
+func (rd RESP) ParseLoad(reply []byte) *policy.Load { return parseInfo(resp.Text(reply, rd.Limits())) }
 
 // replyStatus returns what a reply proves about an attempt. After errors with which a server rejects a command unseen, the
 // attempt did not run; after errors of the server itself, it may have run. Errors on which client libraries repeat a
--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -28,22 +28,22 @@
 	}
 }
 
-// Held describes the connections to one server.
-type Held struct {
+// ConnectionStats describes the connections to one server.
+type ConnectionStats struct {
 	Connections, Idle int // open connections, and those of them that await no reply
-	Out               int // attempts that have not ended, including those that wait for a connection
-	GivenUp           int // cancelled attempts whose connection is still open
+	InFlight          int // attempts that have not ended, including those that wait for a connection
+	Cancelled         int // cancelled attempts whose connection is still open
 }
 
-// Held returns the state of the connections to each server, by the name of the server.
-func (pool *Pool) Held() map[string]Held {
+// ConnectionStats returns the state of the connections to each server, by the name of the server.
+func (pool *Pool) ConnectionStats() map[string]ConnectionStats {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	stats := make(map[string]Held, len(pool.servers))
+	stats := make(map[string]ConnectionStats, len(pool.servers))
 	for name, srv := range pool.servers {
 		srv.mu.Lock()
 		open, idle, cancelled := srv.conns.Stats()
-		stats[name] = Held{open, idle, srv.conns.InFlight(), cancelled}
+		stats[name] = ConnectionStats{open, idle, srv.conns.InFlight(), cancelled}
 		srv.mu.Unlock()
 	}
 	return stats
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -139,9 +139,9 @@
 // maxImmediateAttempts bounds how often a non-blocking call is repeated at once.
 const maxImmediateAttempts = 10
 
-// Unread reports whether data of the other end, or its end of the stream, is waiting to be read. It reports true where the
+// HasUnread reports whether data of the other end, or its end of the stream, is waiting to be read. It reports true where the
 // system can't tell.
-func (conn *Conn) Unread() bool {
+func (conn *Conn) HasUnread() bool {
 	var peeked [1]byte
 	for range maxImmediateAttempts {
 		_, _, err := unix.Recvfrom(conn.fd, peeked[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -155,7 +155,7 @@
 				return None
 			},
 		}
-		group := startWith(t, handler, Options{EndsFirst: endsFirst, Log: zerolog.Nop()})
+		group := startWith(t, handler, Options{CloseOnPeerShutdown: endsFirst, Log: zerolog.Nop()})
 		client := dial(t, group)
 		conn := <-conns
 		_, _ = client.Write([]byte("one"))
--- a/internal/eventloop/group.go
+++ b/internal/eventloop/group.go
@@ -51,8 +51,8 @@
 	ReadBuffer int // maximum bytes per read; 0: 64 kB
 	// EndsFirst closes a connection as soon as the other end has closed it or its sending side, and discards what is
 	// still unread by then. Otherwise the unread data is read first.
-	EndsFirst bool
-	Log       zerolog.Logger
+	CloseOnPeerShutdown bool
+	Log                 zerolog.Logger
 }
 
 const defaultReadBuffer = 64 << 10 // bytes
@@ -78,7 +78,7 @@
 func New(handler Handler, opt Options) (*Group, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
-	group := &Group{handler: handler, endsFirst: opt.EndsFirst,
+	group := &Group{handler: handler, endsFirst: opt.CloseOnPeerShutdown,
 		log: opt.Log.Sample(&zerolog.BurstSampler{Burst: maxLogsPerSecond, Period: time.Second})}
 	bufferSize := opt.ReadBuffer
 	if bufferSize <= 0 {
@@ -130,7 +130,7 @@
 		return err
 	}
 	var fd int
-	err = syserr.Retry(ctx, syserr.Busy, func() error {
+	err = syserr.Retry(ctx, syserr.ListenRetryable, func() error {
 		fd, group.addr, err = listen(tcpAddress)
 		return err
 	})
--- a/internal/links/pool.go
+++ b/internal/links/pool.go
@@ -35,8 +35,8 @@
 	Pipeline    int // attempts awaiting a reply on one connection, at least 1
 	// RestS is how long after a reply a connection is not used while another one is available: the server may send
 	// more data than belongs to the reply, which would be taken for the reply to the next attempt.
-	RestS float64
-	IdleS float64 // a connection idle for longer is closed and not used again; 0: no limit
+	ReuseDelayS  float64
+	IdleTimeoutS float64 // a connection idle for longer is closed and not used again; 0: no limit
 }
 
 // Pool is the connections to one server. It is not safe for concurrent use.
@@ -143,9 +143,9 @@
 		inFlight := len(conn.queue) - conn.greetings
 		switch {
 		case conn.closing || conn.retired || conn.cancelled > 0:
-		case inFlight == 0 && pool.limits.IdleS > 0 && now-conn.usedAt > pool.limits.IdleS:
+		case inFlight == 0 && pool.limits.IdleTimeoutS > 0 && now-conn.usedAt > pool.limits.IdleTimeoutS:
 			pool.close(conn) // the server may be closing it too, which would reset whatever is written now
-		case inFlight == 0 && conn.answered && now-conn.usedAt < pool.limits.RestS:
+		case inFlight == 0 && conn.answered && now-conn.usedAt < pool.limits.ReuseDelayS:
 			if recent == nil || conn.usedAt < recent.usedAt {
 				recent = conn
 			}
@@ -394,7 +394,7 @@
 // CloseIdle closes the connections that have been idle for longer than Limits.IdleS.
 func (pool *Pool) CloseIdle(now float64) {
 	for _, conn := range pool.conns {
-		if pool.limits.IdleS > 0 && len(conn.queue) == 0 && now-conn.usedAt > pool.limits.IdleS {
+		if pool.limits.IdleTimeoutS > 0 && len(conn.queue) == 0 && now-conn.usedAt > pool.limits.IdleTimeoutS {
 			pool.close(conn)
 		}
 	}
--- a/internal/links/pool_test.go
+++ b/internal/links/pool_test.go
@@ -251,7 +251,7 @@
 // A connection that has received a reply is not used for Limits.RestS, unless no other connection is available.
 func TestReuseDelay(t *testing.T) {
 	rec := newRecord()
-	pool := New(Limits{Connections: 2, Pipeline: 1, RestS: 1}, rec)
+	pool := New(Limits{Connections: 2, Pipeline: 1, ReuseDelayS: 1}, rec)
 	pool.Send(0, attempt(0), []byte{0}, deadline(0, 10))
 	first := pool.Opened(0, nil, 0)
 	pool.MatchReply(2, first)
@@ -326,7 +326,7 @@
 // Idle connections are closed before the server closes them, and are not used while they are being closed.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	rec := newRecord()
-	pool := New(Limits{Connections: 1, Pipeline: 1, IdleS: 5}, rec)
+	pool := New(Limits{Connections: 1, Pipeline: 1, IdleTimeoutS: 5}, rec)
 	pool.Send(0, attempt(0), []byte{0}, deadline(0, 100))
 	conn := pool.Opened(0, nil, 0)
 	pool.CloseIdle(20) // an attempt is in flight: not idle
--- a/internal/syserr/syserr.go
+++ b/internal/syserr/syserr.go
@@ -21,12 +21,12 @@
 		unix.ENOSPC) // from epoll_ctl: the user has reached the system's limit on watched descriptors
 }
 
-// Busy reports whether listening on an address failed for now: this machine is short of a resource, or a process that is
+// ListenRetryable reports whether listening on an address failed for now: this machine is short of a resource, or a process that is
 // exiting still uses the address.
-func Busy(err error) bool { return Local(err) || anyOf(err, unix.EADDRINUSE) }
+func ListenRetryable(err error) bool { return Local(err) || anyOf(err, unix.EADDRINUSE) }
 
-// Storage reports whether reading or writing a file failed for now. The same call may succeed later.
-func Storage(err error) bool {
+// StorageRetryable reports whether reading or writing a file failed for now. The same call may succeed later.
+func StorageRetryable(err error) bool {
 	return Transient(err) || anyOf(err, unix.EIO, unix.ENOSPC, unix.EDQUOT, unix.EROFS)
 }
 
--- a/internal/syserr/syserr_test.go
+++ b/internal/syserr/syserr_test.go
@@ -32,8 +32,8 @@
 		{unix.ECONNRESET, false, false, false},
 		{unix.ENOENT, false, false, false},
 	} {
-		if Transient(test.err) != test.transient || Local(test.err) != test.local || Storage(test.err) != test.storage {
-			t.Errorf("%v: %v %v %v, want %v %v %v", test.err, Transient(test.err), Local(test.err), Storage(test.err),
+		if Transient(test.err) != test.transient || Local(test.err) != test.local || StorageRetryable(test.err) != test.storage {
+			t.Errorf("%v: %v %v %v, want %v %v %v", test.err, Transient(test.err), Local(test.err), StorageRetryable(test.err),
 				test.transient, test.local, test.storage)
 		}
 	}
