--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -159,8 +159,9 @@
 	}
 }
 
-// SetAddresses sets the addresses of servers whose names are not their addresses. It must be called before Servers lists them.
-// An address is kept until its server is removed. If the address of a server changes, new connections go to the new one.
+// SetAddresses sets the addresses of servers whose names are not their addresses. It must be called before Servers lists
+// them. An address is kept until its server is removed. If the address of a server changes, new connections go to the new
+// one.
 func (pool *Pool) SetAddresses(addresses map[string]string) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -218,8 +219,8 @@
 		listed[entry.ID] = true
 		if srv := pool.servers[entry.ID]; srv == nil {
 			srv = &server{pool: pool, name: entry.ID, addr: cmp.Or(pool.addresses[entry.ID], entry.ID)}
-			srv.conns = links.New(links.Limits{Connections: pool.opt.Connections, Pipeline: pool.opt.Pipeline, ReuseDelayS: pool.opt.ReuseDelayS,
-				IdleTimeoutS: pool.opt.IdleTimeoutS}, (*effects)(srv))
+			srv.conns = links.New(links.Limits{Connections: pool.opt.Connections, Pipeline: pool.opt.Pipeline,
+				ReuseDelayS: pool.opt.ReuseDelayS, IdleTimeoutS: pool.opt.IdleTimeoutS}, (*effects)(srv))
 			pool.servers[entry.ID] = srv
 		}
 		srv := pool.servers[entry.ID]
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -113,7 +113,8 @@
 func setup(t *testing.T, change func(*Options), addrs ...string) (*Pool, *resultSink) {
 	t.Helper()
 	sink := &resultSink{make(chan core.Result, 1000), make(chan policy.ProbeResult, 100)}
-	opt := Options{Dialect: RESP{Name: "t"}, Connections: 2, Pipeline: 2, ConnectTimeout: 5 * time.Second, Loops: 1, Log: zerolog.Nop()}
+	opt := Options{Dialect: RESP{Name: "t"}, Connections: 2, Pipeline: 2, ConnectTimeout: 5 * time.Second, Loops: 1,
+		Log: zerolog.Nop()}
 	if change != nil {
 		change(&opt)
 	}
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -142,7 +142,8 @@
 			continue // a push message is not a reply to a command
 		}
 		if conn.forProbes {
-			if conn.greetings--; conn.greetings < 0 && !conn.server.endProbe(policy.OK, pool.opt.Dialect.ParseLoad(reply)) && pool.opt.StrictProbes {
+			if conn.greetings--; conn.greetings < 0 && !conn.server.endProbe(policy.OK, pool.opt.Dialect.ParseLoad(reply)) &&
+				pool.opt.StrictProbes {
 				action = eventloop.Close
 				break
 			}
--- a/internal/backend/wire_test.go
+++ b/internal/backend/wire_test.go
@@ -35,7 +35,8 @@
 	for _, resp3 := range []bool{false, true} { // versions 2 and 3 of the protocol
 		srv := newTestServer(t)
 		addr := srv.listener.Addr().String()
-		pool, sink := setup(t, func(o *Options) { o.Connections, o.Pipeline, o.Dialect = 1, 100, RESP{Name: "t", LoadInReplies: resp3} }, addr)
+		pool, sink := setup(t,
+			func(o *Options) { o.Connections, o.Pipeline, o.Dialect = 1, 100, RESP{Name: "t", LoadInReplies: resp3} }, addr)
 		replies := ""
 		for _, form := range replyForms {
 			replies += form.text
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -77,7 +77,7 @@
 	reading := conn.wanted&unix.EPOLLIN != 0
 	switch {
 	case conn.closed:
-	case ended && (conn.loop.group.endsFirst || !reading):
+	case ended && (conn.loop.group.closeOnPeerShutdown || !reading):
 		conn.loop.close(conn, conn.endError())
 	case reading && (ended || events&unix.EPOLLIN != 0): // reading a broken connection returns its error
 		conn.read()
@@ -102,7 +102,7 @@
 		loop.close(conn, os.NewSyscallError("read", err))
 	case n == 0:
 		loop.close(conn, io.EOF)
-	case loop.group.endsFirst && time.Since(loop.wokeAt) > maxEventAge && conn.peerHasEnded():
+	case loop.group.closeOnPeerShutdown && time.Since(loop.wokeAt) > maxEventAge && conn.peerHasEnded():
 		loop.close(conn, conn.endError())
 	default:
 		if loop.group.handler.OnData(conn, loop.readBuffer[:n]) == Close {
@@ -124,7 +124,7 @@
 }
 
 // PauseReading leaves incoming data unread, so that the other end has to wait. Meanwhile the connection is closed if it
-// breaks and, with Options.EndsFirst, when the other end closes it.
+// breaks and, with Options.CloseOnPeerShutdown, when the other end closes it.
 func (conn *Conn) PauseReading() {
 	conn.wanted &^= unix.EPOLLIN
 	conn.watch()
@@ -139,8 +139,8 @@
 // maxImmediateAttempts bounds how often a non-blocking call is repeated at once.
 const maxImmediateAttempts = 10
 
-// HasUnread reports whether data of the other end, or its end of the stream, is waiting to be read. It reports true where the
-// system can't tell.
+// HasUnread reports whether data of the other end, or its end of the stream, is waiting to be read. It reports true where
+// the system can't tell.
 func (conn *Conn) HasUnread() bool {
 	var peeked [1]byte
 	for range maxImmediateAttempts {
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -141,10 +141,10 @@
 	}
 }
 
-// A paused connection is not read. Its end is noticed when reading resumes or, with EndsFirst, at once, even with unread
+// A paused connection is not read. Its end is noticed when reading resumes or, with CloseOnPeerShutdown, at once, even with unread
 // data before it.
 func TestPauseReading(t *testing.T) {
-	for _, endsFirst := range []bool{false, true} {
+	for _, closeOnPeerShutdown := range []bool{false, true} {
 		received := make(chan string, 10)
 		conns := make(chan *Conn, 10)
 		handler := &echoHandler{
@@ -155,7 +155,7 @@
 				return None
 			},
 		}
-		group := startWith(t, handler, Options{CloseOnPeerShutdown: endsFirst, Log: zerolog.Nop()})
+		group := startWith(t, handler, Options{CloseOnPeerShutdown: closeOnPeerShutdown, Log: zerolog.Nop()})
 		client := dial(t, group)
 		conn := <-conns
 		_, _ = client.Write([]byte("one"))
@@ -164,7 +164,7 @@
 		}
 		_, _ = client.Write([]byte("two"))
 		_ = client.(*net.TCPConn).CloseWrite()
-		if endsFirst {
+		if closeOnPeerShutdown {
 			waitUntil(t, "the end is reported", func() bool { return len(handler.ended()) == 1 })
 			if len(received) > 0 {
 				t.Error("read while paused")
--- a/internal/eventloop/group.go
+++ b/internal/eventloop/group.go
@@ -49,7 +49,7 @@
 type Options struct {
 	Loops      int // at least 1
 	ReadBuffer int // maximum bytes per read; 0: 64 kB
-	// EndsFirst closes a connection as soon as the other end has closed it or its sending side, and discards what is
+	// CloseOnPeerShutdown closes a connection as soon as the other end has closed it or its sending side, and discards what is
 	// still unread by then. Otherwise the unread data is read first.
 	CloseOnPeerShutdown bool
 	Log                 zerolog.Logger
@@ -59,13 +59,13 @@
 
 // Group is a number of event loops that share a listener, or connections added by Enroll.
 type Group struct {
-	handler   Handler
-	log       zerolog.Logger // limited to maxLogsPerSecond, as many connections may fail at the same time
-	endsFirst bool           // Options.EndsFirst
-	loops     []*Loop
-	nextLoop  atomic.Uint32
-	running   sync.WaitGroup // the loops' goroutines
-	addr      net.Addr
+	handler             Handler
+	log                 zerolog.Logger // limited to maxLogsPerSecond, as many connections may fail at the same time
+	closeOnPeerShutdown bool           // Options.CloseOnPeerShutdown
+	loops               []*Loop
+	nextLoop            atomic.Uint32
+	running             sync.WaitGroup // the loops' goroutines
+	addr                net.Addr
 }
 
 // maxLogsPerSecond bounds the log lines about single connections.
@@ -78,7 +78,7 @@
 func New(handler Handler, opt Options) (*Group, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
-	group := &Group{handler: handler, endsFirst: opt.CloseOnPeerShutdown,
+	group := &Group{handler: handler, closeOnPeerShutdown: opt.CloseOnPeerShutdown,
 		log: opt.Log.Sample(&zerolog.BurstSampler{Burst: maxLogsPerSecond, Period: time.Second})}
 	bufferSize := opt.ReadBuffer
 	if bufferSize <= 0 {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -277,7 +277,7 @@
 // adopt starts serving a connection. It runs in the loop's goroutine.
 func (loop *Loop) adopt(fd int, value any) {
 	conn := &Conn{loop: loop, fd: fd, serial: loop.nextSerial, context: value, wanted: unix.EPOLLIN}
-	if loop.group.endsFirst {
+	if loop.group.closeOnPeerShutdown {
 		conn.wanted |= unix.EPOLLRDHUP
 	}
 	if loop.nextSerial++; loop.nextSerial < firstSerial {
--- a/internal/links/pool.go
+++ b/internal/links/pool.go
@@ -33,7 +33,7 @@
 type Limits struct {
 	Connections int // open or being opened at the same time, at least 1
 	Pipeline    int // attempts awaiting a reply on one connection, at least 1
-	// RestS is how long after a reply a connection is not used while another one is available: the server may send
+	// ReuseDelayS is how long after a reply a connection is not used while another one is available: the server may send
 	// more data than belongs to the reply, which would be taken for the reply to the next attempt.
 	ReuseDelayS  float64
 	IdleTimeoutS float64 // a connection idle for longer is closed and not used again; 0: no limit
@@ -86,7 +86,7 @@
 func (pool *Pool) SetMaxConnections(connections int) { pool.limits.Connections = max(1, connections) }
 
 // Send starts an attempt. It uses, in this order: an idle connection, a new connection, a connection that has just
-// received a reply (see Limits.RestS), or the connection with the fewest attempts. If every limit is reached, the attempt
+// received a reply (see Limits.ReuseDelayS), or the connection with the fewest attempts. If every limit is reached, the attempt
 // ends at once as policy.Full: the server has not seen it.
 func (pool *Pool) Send(now float64, attempt core.Attempt, payload []byte, timing policy.Timing) {
 	pending := &pendingReply{attempt: attempt, payload: payload,
@@ -136,7 +136,7 @@
 }
 
 // pick returns the usable connections of each kind, or nil: idle carries no attempt; recent carries none either, but
-// received a reply less than Limits.RestS ago (the one for which this is longest ago); busy is the one with the fewest
+// received a reply less than Limits.ReuseDelayS ago (the one for which this is longest ago); busy is the one with the fewest
 // attempts, below Limits.Pipeline.
 func (pool *Pool) pick(now float64) (idle, recent, busy *Conn) {
 	for _, conn := range pool.conns {
@@ -391,7 +391,7 @@
 	}
 }
 
-// CloseIdle closes the connections that have been idle for longer than Limits.IdleS.
+// CloseIdle closes the connections that have been idle for longer than Limits.IdleTimeoutS.
 func (pool *Pool) CloseIdle(now float64) {
 	for _, conn := range pool.conns {
 		if pool.limits.IdleTimeoutS > 0 && len(conn.queue) == 0 && now-conn.usedAt > pool.limits.IdleTimeoutS {
--- a/internal/links/pool_test.go
+++ b/internal/links/pool_test.go
@@ -248,7 +248,7 @@
 	}
 }
 
-// A connection that has received a reply is not used for Limits.RestS, unless no other connection is available.
+// A connection that has received a reply is not used for Limits.ReuseDelayS, unless no other connection is available.
 func TestReuseDelay(t *testing.T) {
 	rec := newRecord()
 	pool := New(Limits{Connections: 2, Pipeline: 1, ReuseDelayS: 1}, rec)
--- a/internal/syserr/syserr.go
+++ b/internal/syserr/syserr.go
@@ -21,11 +21,11 @@
 		unix.ENOSPC) // from epoll_ctl: the user has reached the system's limit on watched descriptors
 }
 
-// ListenRetryable reports whether listening on an address failed for now: this machine is short of a resource, or a process that is
-// exiting still uses the address.
+// ListenRetryable reports whether listening on an address failed for now: this machine is short of a resource, or a
+// process that is exiting still uses the address.
 func ListenRetryable(err error) bool { return Local(err) || anyOf(err, unix.EADDRINUSE) }
 
-// StorageRetryable reports whether reading or writing a file failed for now. The same call may succeed later.
+// StorageRetryable reports whether reading or writing a file failed for now, so that the same call may succeed later.
 func StorageRetryable(err error) bool {
 	return Transient(err) || anyOf(err, unix.EIO, unix.ENOSPC, unix.EDQUOT, unix.EROFS)
 }
