--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -49,7 +49,7 @@
 	Limits() resp.Limits
 }
 
-// Options are the settings of a Pool. Times are in seconds.
+// Options are the settings of a Pool. Fields whose name ends in S are in seconds.
 type Options struct {
 	Dialect             Dialect
 	Connections         int           // to one server at the same time, at least 1
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -21,7 +21,7 @@
 	closed    bool            // used only by the loop's goroutine
 	greetings int             // replies to the greeting still to come; only for a probe connection
 	usedAt    float64         // when a probe connection was last used; protected by the server's lock
-	state     *links.Conn     // nil for a probe connection
+	state     *links.Conn     // its state in links.Pool; nil for a probe connection
 }
 
 // queuedAttempt is an attempt that is about to be written.
@@ -181,7 +181,7 @@
 	return action
 }
 
-// OnClose ends the attempts on a connection, or moves those to other connections that were not sent in full, and ends the
+// OnClose ends the attempts on a connection that were sent in full, moves the others to other connections, and ends the
 // probe on a probe connection.
 func (pool *Pool) OnClose(socket *eventloop.Conn, err error) {
 	conn := socket.Context().(*connection)
--- a/internal/eventloop/group.go
+++ b/internal/eventloop/group.go
@@ -42,15 +42,15 @@
 	OnClose(conn *Conn, err error)
 }
 
-// ErrStopped is the error of calls on event loops that have stopped or are about to.
+// ErrStopped means that the event loops have stopped or are about to. Execute returns it, and OnClose is called with it.
 var ErrStopped = errors.New("event loops have stopped")
 
 // Options are the settings of a Group.
 type Options struct {
 	Loops      int // at least 1
 	ReadBuffer int // maximum bytes per read; 0: 64 kB
-	// CloseOnPeerShutdown closes a connection as soon as the other end has closed it or its sending side, and discards what is
-	// still unread by then. Otherwise the unread data is read first.
+	// CloseOnPeerShutdown closes a connection as soon as the other end has closed it or its sending side, and discards
+	// what is still unread by then. Otherwise the unread data is read first.
 	CloseOnPeerShutdown bool
 	Log                 zerolog.Logger
 }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -15,7 +15,7 @@
 
 // Times of retries after temporary errors.
 const (
-	retryPause     = time.Millisecond // before a write or a change of watched events is retried
+	retryPause     = time.Millisecond // before a write, or a change of watched events, that failed for lack of memory is retried
 	watchTimeout   = time.Second      // a connection whose events can't be watched for so long is closed
 	epollWaitPause = time.Millisecond // after an error of epoll_wait that its manual page does not list
 )
@@ -27,8 +27,8 @@
 )
 
 // Serial numbers of entries in the epoll set. Each connection has its own, starting at firstSerial: so an event of a
-// closed connection is not taken for one of a later connection with the same descriptor. The serial is kept in the Pad field of
-// the event, the half of epoll_data that the descriptor leaves free.
+// closed connection is not taken for one of a later connection with the same descriptor. The serial is kept in the Pad
+// field of the event, the half of epoll_data that the descriptor leaves free.
 const (
 	wakeSerial     = 0
 	listenerSerial = 1
@@ -42,11 +42,11 @@
 	wakeFD     int // an eventfd
 	readBuffer []byte
 
-	wokeAt time.Time // when the system last reported events
+	wokeAt time.Time // when epoll_wait last returned events
 
 	// These are used only by the loop's goroutine.
 	conns         []*Conn // by descriptor
-	open          int
+	open          int     // number of open connections
 	nextSerial    int32
 	unwatched     []*Conn // whose events could not be set
 	listenerFD    int     // 0: none
--- a/internal/links/pool.go
+++ b/internal/links/pool.go
@@ -39,7 +39,7 @@
 	IdleTimeoutS float64 // a connection idle for longer is closed and not used again; 0: no limit
 }
 
-// Pool is the connections to one server. It is not safe for concurrent use.
+// Pool holds the connections to one server. It is not safe for concurrent use.
 type Pool struct {
 	limits   Limits
 	effects  Effects
@@ -86,8 +86,8 @@
 func (pool *Pool) SetMaxConnections(connections int) { pool.limits.Connections = max(1, connections) }
 
 // Send starts an attempt. It uses, in this order: an idle connection, a new connection, a connection that has just
-// received a reply (see Limits.ReuseDelayS), or the connection with the fewest attempts. If every limit is reached, the attempt
-// ends at once as policy.Full: the server has not seen it.
+// received a reply (see Limits.ReuseDelayS), or the connection with the fewest attempts. If every limit is reached, the
+// attempt ends at once as policy.Full: the server has not seen it.
 func (pool *Pool) Send(now float64, attempt core.Attempt, payload []byte, timing policy.Timing) {
 	pending := &pendingReply{attempt: attempt, payload: payload,
 		startBy: now + min(timing.StartS, timing.AnswerS), answerBy: now + timing.AnswerS}
@@ -136,8 +136,8 @@
 }
 
 // pick returns the usable connections of each kind, or nil: idle carries no attempt; recent carries none either, but
-// received a reply less than Limits.ReuseDelayS ago (the one for which this is longest ago); busy is the one with the fewest
-// attempts, below Limits.Pipeline.
+// received a reply less than Limits.ReuseDelayS ago (the one for which this is longest ago); busy is the one with the
+// fewest attempts, below Limits.Pipeline.
 func (pool *Pool) pick(now float64) (idle, recent, busy *Conn) {
 	for _, conn := range pool.conns {
 		inFlight := len(conn.queue) - conn.greetings
