--- a/internal/links/pool.go
+++ b/internal/links/pool.go
@@ -64,7 +64,7 @@
 	closing   bool            // Effects.Close was called, or the connection has ended
 }
 
-// pendingReply is an attempt, or one command of this client's greeting, whose reply has not come yet.
+// pendingReply is an attempt, or one command of this gateway's greeting, whose reply has not come yet.
 type pendingReply struct {
 	attempt   core.Attempt
 	payload   []byte
@@ -255,7 +255,7 @@
 	}
 }
 
-// Opened puts a new connection to use. Greetings is the number of replies to this client's greeting, which come first.
+// Opened puts a new connection to use. Greetings is the number of replies to this gateway's greeting, which come first.
 func (pool *Pool) Opened(now float64, handle any, greetings int) *Conn {
 	conn := &Conn{Handle: handle, greetings: greetings, usedAt: now}
 	for range greetings {
@@ -321,7 +321,7 @@
 // The kinds of replies.
 const (
 	UnexpectedReply ReplyKind = iota // none was awaited: the connection is out of step and must be closed
-	GreetingReply                    // the reply to a command of this client's greeting
+	GreetingReply                    // the reply to a command of this gateway's greeting
 	LateReply                        // the reply to a cancelled attempt
 	AttemptReply                     // the reply to an attempt, which ends with it
 )
