--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -147,7 +147,9 @@
 }
 
 // within is the timing of an attempt that must be started, and answered, within so many seconds.
-func within(seconds float64) policy.Timing { return policy.Timing{StartS: seconds, AnswerS: seconds} }
+func within(seconds float64) policy.Timing {
+	return policy.Timing{StartWithinS: seconds, AnswerWithinS: seconds}
+}
 
 func attempt(n int) core.Attempt { return core.Attempt{N: n} }
 
@@ -161,8 +163,8 @@
 		reply  string
 		status policy.Status
 	}{{"+OK\r\n", policy.OK}, {"*2\r\n:1\r\n$1\r\nx\r\n", policy.OK}, {"-ERR no such job\r\n", policy.OK},
-		{"-BUSY full\r\n", policy.Full},
-		{"-LOADING\r\n", policy.Full}, {"-TRYAGAIN later\r\n", policy.Error}, {"-INTERNAL oops\r\n", policy.Error}} {
+		{"-BUSY full\r\n", policy.Rejected},
+		{"-LOADING\r\n", policy.Rejected}, {"-TRYAGAIN later\r\n", policy.Error}, {"-INTERNAL oops\r\n", policy.Error}} {
 		pool.Send(attempt(i), srv.listener.Addr().String(), doCommand(i), within(10))
 		cmd := srv.next(t)
 		_, _ = cmd.conn.Write([]byte(test.reply))
@@ -191,7 +193,7 @@
 		t.Fatalf("%d connections, want 2: %v", len(conns), conns)
 	}
 	pool.Send(attempt(4), addr, doCommand(4), within(10))
-	sink.expect(t, 4, policy.Full, "")
+	sink.expect(t, 4, policy.Rejected, "")
 	for conn, numbers := range conns {
 		for _, number := range numbers {
 			_, _ = conn.Write([]byte("+" + number + "\r\n"))
@@ -230,7 +232,7 @@
 	srv.next(t)
 	pool.Cancel(attempt(0), addr)
 	pool.Send(attempt(2), addr, doCommand(2), within(10)) // the cancelled attempt blocks the only connection
-	sink.expect(t, 2, policy.Full, "")
+	sink.expect(t, 2, policy.Rejected, "")
 	_, _ = cmd.conn.Write([]byte("+zero\r\n+one\r\n"))
 	sink.expect(t, 1, policy.OK, "+one\r\n")
 	if pool.Counts().LateReplies != 1 {
@@ -362,7 +364,7 @@
 	pool, sink := setup(t, func(opt *Options) { opt.DialContext = dialer.dial }, addr)
 	pool.Send(attempt(0), addr, doCommand(0), within(10))
 	pool.Withdraw(attempt(0), addr)
-	sink.expect(t, 0, policy.Moot, "")
+	sink.expect(t, 0, policy.NotSent, "")
 	pool.Send(attempt(1), addr, doCommand(1), within(10))
 	pool.Cancel(attempt(1), addr)
 	close(dialer.allow)
@@ -520,10 +522,10 @@
 	addr := srv.listener.Addr().String()
 	dialer := &delayedDialer{make(chan struct{})}
 	pool, sink := setup(t, func(opt *Options) { opt.DialContext = dialer.dial }, addr)
-	pool.Send(attempt(0), addr, doCommand(0), policy.Timing{StartS: 0.05, AnswerS: 20})
+	pool.Send(attempt(0), addr, doCommand(0), policy.Timing{StartWithinS: 0.05, AnswerWithinS: 20})
 	time.Sleep(100 * time.Millisecond)
 	close(dialer.allow)
-	sink.expect(t, 0, policy.Moot, "")
+	sink.expect(t, 0, policy.NotSent, "")
 	if len(srv.commands) != 0 {
 		t.Error("the server received an attempt after its time to start")
 	}
--- a/internal/backend/probe.go
+++ b/internal/backend/probe.go
@@ -63,6 +63,6 @@
 		srv.pool.background.Done()
 	}
 	srv.pool.core.Probed(policy.ProbeResult{Server: srv.name, Status: status,
-		SpentS: time.Since(ended.startedAt).Seconds(), Load: load})
+		ElapsedS: time.Since(ended.startedAt).Seconds(), Load: load})
 	return true
 }
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -30,7 +30,7 @@
 // Peers carries messages to other instances, which may be lost: to one, or to all of them with policy.Broadcast.
 // It must not block.
 type Peers interface {
-	Tell(instance int, data []byte)
+	SendToPeer(instance int, data []byte)
 }
 
 // Bounds of the queues into the loop.
@@ -275,10 +275,10 @@
 }
 
 // Beliefs is what the module holds of each server now. It waits for the machine's turn, so it is for a trace alone.
-func (l *Loop) Beliefs() []policy.Belief {
+func (l *Loop) Beliefs() []policy.ServerEstimate {
 	l.turn.Lock()
 	defer l.turn.Unlock()
-	return l.machine.gate.Beliefs(l.clock.Now())
+	return l.machine.gate.ServerEstimates(l.clock.Now())
 }
 
 // Run drives the machine until ctx is over, then settles what is left. It returns once every call that was
@@ -432,9 +432,9 @@
 }
 func (l *effects) Probe(box string) { l.backend.Probe(box) }
 
-func (l *effects) Tell(instance int, data []byte) {
+func (l *effects) SendToPeer(instance int, data []byte) {
 	if l.peers != nil {
-		l.peers.Tell(instance, data)
+		l.peers.SendToPeer(instance, data)
 	}
 }
 
--- a/internal/links/pool.go
+++ b/internal/links/pool.go
@@ -90,7 +90,7 @@
 // attempt ends at once as policy.Full: the server has not seen it.
 func (pool *Pool) Send(now float64, attempt core.Attempt, payload []byte, timing policy.Timing) {
 	pending := &pendingReply{attempt: attempt, payload: payload,
-		startBy: now + min(timing.StartS, timing.AnswerS), answerBy: now + timing.AnswerS}
+		startBy: now + min(timing.StartWithinS, timing.AnswerWithinS), answerBy: now + timing.AnswerWithinS}
 	pool.attempts[attempt] = pending
 	pool.place(now, pending)
 }
@@ -102,7 +102,7 @@
 	switch {
 	case pool.draining:
 		delete(pool.attempts, attempt)
-		pool.effects.End(attempt, policy.Moot)
+		pool.effects.End(attempt, policy.NotSent)
 	case idle != nil:
 		pool.write(idle, pending)
 	case len(pool.conns)+pool.dialing < pool.limits.Connections:
@@ -116,7 +116,7 @@
 		pool.waiting = append(pool.waiting, pending)
 	default:
 		delete(pool.attempts, attempt)
-		pool.effects.End(attempt, policy.Full)
+		pool.effects.End(attempt, policy.Rejected)
 	}
 }
 
@@ -183,7 +183,7 @@
 		conn.cancelled--
 	case pool.draining || now <= pending.answerBy: // not the server's fault
 		delete(pool.attempts, attempt)
-		pool.effects.End(attempt, policy.Moot)
+		pool.effects.End(attempt, policy.NotSent)
 	default:
 		delete(pool.attempts, attempt)
 		pool.effects.End(attempt, policy.ConnectFailed)
@@ -288,7 +288,7 @@
 func (pool *Pool) Withdraw(attempt core.Attempt) {
 	if pending := pool.attempts[attempt]; pending != nil && !pending.written {
 		pool.Cancel(attempt)
-		pool.effects.End(attempt, policy.Moot)
+		pool.effects.End(attempt, policy.NotSent)
 	}
 }
 
@@ -387,7 +387,7 @@
 	pool.waiting = nil
 	for _, pending := range waiting {
 		delete(pool.attempts, pending.attempt)
-		pool.effects.End(pending.attempt, policy.Moot)
+		pool.effects.End(pending.attempt, policy.NotSent)
 	}
 }
 
--- a/internal/links/pool_test.go
+++ b/internal/links/pool_test.go
@@ -20,7 +20,7 @@
 
 // deadline is the timing of an attempt that must be started, and answered, by the time until.
 func deadline(now, until float64) policy.Timing {
-	return policy.Timing{StartS: until - now, AnswerS: until - now}
+	return policy.Timing{StartWithinS: until - now, AnswerWithinS: until - now}
 }
 
 // record is what a pool has decided.
@@ -65,7 +65,7 @@
 		t.Fatalf("%d dials, written %v and %v", rec.dials, rec.written[first], rec.written[second])
 	}
 	pool.Send(0, attempt(4), []byte{4}, deadline(0, 10))
-	if rec.ended[4] != policy.Full {
+	if rec.ended[4] != policy.Rejected {
 		t.Fatalf("beyond the limits: %v", rec.ended)
 	}
 }
@@ -304,13 +304,13 @@
 	conn := pool.Opened(0, nil, 0)
 	pool.Send(0, attempt(1), []byte{1}, deadline(0, 10)) // waits for the second connection
 	pool.Drain()
-	if rec.ended[1] != policy.Moot {
+	if rec.ended[1] != policy.NotSent {
 		t.Fatalf("attempt waiting for a connection: %v", rec.ended)
 	}
-	if startWrite(pool, 0, conn, 0) || rec.ended[0] != policy.Moot {
+	if startWrite(pool, 0, conn, 0) || rec.ended[0] != policy.NotSent {
 		t.Fatalf("attempt queued on a connection: %v", rec.ended)
 	}
-	if pool.Send(0, attempt(2), []byte{2}, deadline(0, 10)); rec.ended[2] != policy.Moot {
+	if pool.Send(0, attempt(2), []byte{2}, deadline(0, 10)); rec.ended[2] != policy.NotSent {
 		t.Fatalf("attempt sent later: %v", rec.ended)
 	}
 	pool.Opened(0, nil, 0)
@@ -414,15 +414,15 @@
 func TestTooLateToStart(t *testing.T) {
 	rec := newRecord()
 	pool := New(Limits{Connections: 1, Pipeline: 1}, rec)
-	pool.Send(0, attempt(0), []byte{0}, policy.Timing{StartS: 0.2, AnswerS: 10})
+	pool.Send(0, attempt(0), []byte{0}, policy.Timing{StartWithinS: 0.2, AnswerWithinS: 10})
 	conn := pool.Opened(0.3, rec, 0)
 	if _, ok := pool.StartWrite(0.3, conn, attempt(0)); ok {
 		t.Error("started after its time")
 	}
-	if rec.ended[0] != policy.Moot {
+	if rec.ended[0] != policy.NotSent {
 		t.Errorf("ended as %v, want not sent", rec.ended[0])
 	}
-	pool.Send(1, attempt(1), []byte{1}, policy.Timing{StartS: 0.2, AnswerS: 10})
+	pool.Send(1, attempt(1), []byte{1}, policy.Timing{StartWithinS: 0.2, AnswerWithinS: 10})
 	if remaining, ok := pool.StartWrite(1.1, conn, attempt(1)); !ok || remaining < 9.8 || remaining > 9.91 {
 		t.Errorf("%v s remain for its reply, may start %v", remaining, ok)
 	}
