--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -7,10 +7,11 @@
 	"testing"
 )
 
-// fleetOnCold plays a fleet of gateways that share 20 servers, 45 requests a second for each, of which one starts anew
-// under its old name after 6 s. It returns the times of what all together send there, and how much a warm server got a
-// second. Weight is the part of the traffic that each gateway gets; restart gives the gateways that start anew with
-// the server and know no traffic.
+// fleetOnCold simulates a fleet of gateways that share 20 servers at 45 requests per second and server. One
+// server restarts under its old name after 6 s. The function returns the times at which the gateways together
+// send to that server, and the requests per second that a warm server got. weight is the share of the traffic
+// that each gateway gets; restart selects the gateways that restart together with the server and have seen no
+// traffic.
 func fleetOnCold(t *testing.T, gateways int, seed uint64, weight func(i int) float64, restart func(i int) bool) (sent []float64, warm float64) {
 	t.Helper()
 	const servers, each, start, end = 20, 45.0, 106.0, 116.0
@@ -18,17 +19,17 @@
 	for i := range servers {
 		list = append(list, Server{ID: fmt.Sprint("s", i), Zone: "a"})
 	}
-	fleet, recs := make([]*Gateway, gateways), make([]*recorder, gateways)
+	fleet, recorders := make([]*Gateway, gateways), make([]*recorder, gateways)
 	boot := func(i int, now float64, list []Server) {
 		s := testSettings()
 		s.Me, s.Gateways, s.Peers = i, gateways, false
-		recs[i] = &recorder{}
-		g, err := New(s, seed+uint64(i), now, recs[i])
+		recorders[i] = &recorder{}
+		gw, err := New(s, seed+uint64(i), now, recorders[i])
 		if err != nil {
 			t.Fatal(err)
 		}
-		fleet[i] = g
-		g.Servers(now, list, true)
+		fleet[i] = gw
+		gw.Servers(now, list, true)
 	}
 	sum, upTo := 0.0, make([]float64, gateways)
 	for i := range gateways {
@@ -41,11 +42,11 @@
 		gw int
 		o  Outcome
 	}
-	var out []done // in the order of their times: all take 50 ms
+	var pending []done // sorted by time, as all requests take 50 ms
 	rng := rand.New(rand.NewPCG(seed, 1))
 	warmN, cold := 0, false
 	take := func(i int, now float64) {
-		for _, a := range recs[i].acts {
+		for _, a := range recorders[i].acts {
 			if a.kind != "send" {
 				continue
 			}
@@ -54,16 +55,16 @@
 			} else if now >= start {
 				warmN++
 			}
-			out = append(out, done{now + 0.05, i, Outcome{ID: a.id, Server: a.server, Status: OK, Over: true, SpentS: 0.05}})
+			pending = append(pending, done{now + 0.05, i, Outcome{ID: a.id, Server: a.server, Status: OK, Over: true, SpentS: 0.05}})
 		}
-		recs[i].acts = recs[i].acts[:0]
+		recorders[i].acts = recorders[i].acts[:0]
 	}
 	n := 0
 	tick := 100.0
 	for now := 100 + rng.ExpFloat64()/(servers*each); now < end; now += rng.ExpFloat64() / (servers * each) {
-		for len(out) > 0 && out[0].at <= now {
-			d := out[0]
-			out = out[1:]
+		for len(pending) > 0 && pending[0].at <= now {
+			d := pending[0]
+			pending = pending[1:]
 			fleet[d.gw].Outcome(d.at, d.o)
 			take(d.gw, d.at)
 		}
@@ -80,8 +81,8 @@
 		}
 		if now >= tick+5*tickS {
 			tick = now
-			for i, g := range fleet {
-				g.Timer(now, 1)
+			for i, gw := range fleet {
+				gw.Timer(now, 1)
 				take(i, now)
 			}
 		}
@@ -97,9 +98,10 @@
 	return sent, float64(warmN) / (servers - 1) / (end - start)
 }
 
-// The budget of a cold server holds for the sum of what a fleet sends, however many gateways share the traffic and
-// however unevenly, and the server does get its part. It falls at N + 2 root of N + 2 within fallS, N being the multiple
-// of its capacity that the settings name; no warm server is known to be able to do more than it is sent.
+// The budget of a cold server limits the sum of what a fleet sends, however many gateways share the traffic
+// and however unevenly, and the server does get its part. It is overloaded by N + 2*sqrt(N) + 2 requests
+// within OverloadWindowS, where N is OverloadMultiple times its capacity. A warm server's capacity is taken
+// to be what it is sent, as no more is known.
 func TestColdServerKeepsToItsShareOfAFleet(t *testing.T) {
 	s := testSettings()
 	s.FallMultiple = 2
@@ -121,7 +123,7 @@
 					for k < len(sent) && sent[k] < from+s.FallS {
 						k++
 					}
-					share := s.ColdFrom + (1-s.ColdFrom)*(from-106)/s.ColdS // as it was when the window began: the least
+					share := s.ColdFrom + (1-s.ColdFrom)*(from-106)/s.ColdS // at the start of the window, where it is lowest
 					n := s.FallMultiple * share * warm * s.FallS
 					if x := float64(k-i) / (n + 2*math.Sqrt(n) + 2); x > worst {
 						worst, at = x, from-106
@@ -129,10 +131,11 @@
 				}
 				part := float64(len(sent)) / (warm * s.ColdS * (1 + s.ColdFrom) / 2)
 				if worst >= 0.75 {
-					t.Errorf("%s, %d gateways, seed %d: a cold server got %.2f of what it falls at, %.1f s after its start", c.name, gateways, seed, worst, at)
+					t.Errorf("%s, %d gateways, seed %d: a cold server got %.2f of what overloads it, %.1f s after its start", c.name, gateways, seed, worst, at)
 				}
-				// Of 300 gateways each looks at two servers a request, and some do not look in the window that is theirs.
-				if least := map[int]float64{3: 0.9, 30: 0.9, 300: 0.15}[gateways]; part < least || part > 1.1 {
+				// Each of 300 gateways considers two servers per request, and some never consider the cold one in a
+				// window in which they may send to it.
+				if minPart := map[int]float64{3: 0.9, 30: 0.9, 300: 0.15}[gateways]; part < minPart || part > 1.1 {
 					t.Errorf("%s, %d gateways, seed %d: a cold server got %.2f of its part", c.name, gateways, seed, part)
 				}
 			}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -6,10 +6,10 @@
 	"cometpond/policy"
 )
 
-// ingress is the least that an ingress has to do: carry out what the gateway asks.
+// ingress is a minimal ingress: it carries out the gateway's actions.
 type ingress struct {
 	name string
-	out  [][]byte // messages on their way
+	out  [][]byte // messages to other gateways
 	sent []string
 }
 
@@ -41,44 +41,44 @@
 // One gateway from its start to a final answer.
 func ExampleGateway() {
 	in := &ingress{name: "gateway"}
-	g, err := policy.New(settings(0, 1), 42, 10, in)
+	gw, err := policy.New(settings(0, 1), 42, 10, in)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	g.Servers(10, []policy.Server{{ID: "10.0.0.1:80"}}, true)
+	gw.Servers(10, []policy.Server{{ID: "10.0.0.1:80"}}, true)
 	for i := range 2 {
-		g.Request(10, policy.Request{ID: fmt.Sprint("r", i), Class: "read", Plan: "basic", Customer: "ada",
+		gw.Request(10, policy.Request{ID: fmt.Sprint("r", i), Class: "read", Plan: "basic", Customer: "ada",
 			DeadlineS: 12, Entries: 1, Units: 2})
 	}
-	g.Outcome(10.1, policy.Outcome{ID: "r0", Server: "10.0.0.1:80", Status: policy.OK, Over: true, SpentS: 0.1})
+	gw.Outcome(10.1, policy.Outcome{ID: "r0", Server: "10.0.0.1:80", Status: policy.OK, Over: true, SpentS: 0.1})
 	// Output:
 	// gateway: send r0 to 10.0.0.1:80
 	// gateway: refuse r1
 }
 
-// Two gateways keep one customer to one quota: what one lets in, the other hears of.
+// Two gateways enforce one quota for a customer: units admitted by one are reported to the other.
 func ExampleGateway_owners() {
-	ins := [2]*ingress{{name: "west"}, {name: "east"}}
-	var gates [2]*policy.Gateway
+	ingresses := [2]*ingress{{name: "west"}, {name: "east"}}
+	var fleet [2]*policy.Gateway
 	now := 10.0
-	for i := range gates {
-		gates[i], _ = policy.New(settings(i, 2), uint64(i), now, ins[i])
-		gates[i].Servers(now, []policy.Server{{ID: "10.0.0.1:80"}}, true)
+	for i := range fleet {
+		fleet[i], _ = policy.New(settings(i, 2), uint64(i), now, ingresses[i])
+		fleet[i].Servers(now, []policy.Server{{ID: "10.0.0.1:80"}}, true)
 	}
 	ask := func(gateway int, id string) {
-		gates[gateway].Request(now, policy.Request{ID: id, Class: "read", Plan: "basic", Customer: "ada",
+		fleet[gateway].Request(now, policy.Request{ID: id, Class: "read", Plan: "basic", Customer: "ada",
 			DeadlineS: now + 2, Entries: 2, Units: 2})
 	}
 	ask(0, "first")
-	for range 30 { // the ingress's timers: 0.6 s, some batches each way
+	for range 30 { // 0.6 s of timers, with several reports in each direction
 		now += 0.02
-		for i, g := range gates {
-			g.Timer(now, 1)
-			for _, data := range ins[1-i].out {
-				g.Peer(now, 1-i, data)
+		for i, gw := range fleet {
+			gw.Timer(now, 1)
+			for _, data := range ingresses[1-i].out {
+				gw.Peer(now, 1-i, data)
 			}
-			ins[1-i].out = nil
+			ingresses[1-i].out = nil
 		}
 	}
 	ask(1, "second")
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// out is one action as the tests see it.
+// out is one recorded action.
 type out struct {
 	kind, id, server string
 	to, attempt      int
@@ -14,30 +14,30 @@
 	data             []byte
 }
 
-// recorder keeps the actions of one gateway.
+// recorder records the actions of one gateway.
 type recorder struct{ acts []out }
 
-func (r *recorder) Send(id, s string, t Timing) {
-	r.acts = append(r.acts, out{kind: "send", id: id, server: s, x: t.AnswerS, start: t.StartS})
+func (rec *recorder) Send(id, s string, t Timing) {
+	rec.acts = append(rec.acts, out{kind: "send", id: id, server: s, x: t.AnswerS, start: t.StartS})
 }
-func (r *recorder) Refuse(id string, x float64, _ Refusal) {
-	r.acts = append(r.acts, out{kind: "refuse", id: id, x: x})
+func (rec *recorder) Refuse(id string, x float64, _ Refusal) {
+	rec.acts = append(rec.acts, out{kind: "refuse", id: id, x: x})
 }
-func (r *recorder) Fail(id string)  { r.acts = append(r.acts, out{kind: "fail", id: id}) }
-func (r *recorder) Admit(id string) { r.acts = append(r.acts, out{kind: "admit", id: id}) }
-func (r *recorder) Cancel(id string, n int) {
-	r.acts = append(r.acts, out{kind: "cancel", id: id, attempt: n})
+func (rec *recorder) Fail(id string)  { rec.acts = append(rec.acts, out{kind: "fail", id: id}) }
+func (rec *recorder) Admit(id string) { rec.acts = append(rec.acts, out{kind: "admit", id: id}) }
+func (rec *recorder) Cancel(id string, n int) {
+	rec.acts = append(rec.acts, out{kind: "cancel", id: id, attempt: n})
 }
-func (r *recorder) SetTimer(uint64, float64) {}
-func (r *recorder) Probe(s string)           { r.acts = append(r.acts, out{kind: "probe", server: s}) }
-func (r *recorder) Tell(to int, b []byte) {
-	r.acts = append(r.acts, out{kind: "tell", to: to, data: append([]byte(nil), b...)})
+func (rec *recorder) SetTimer(uint64, float64) {}
+func (rec *recorder) Probe(s string)           { rec.acts = append(rec.acts, out{kind: "probe", server: s}) }
+func (rec *recorder) Tell(to int, b []byte) {
+	rec.acts = append(rec.acts, out{kind: "tell", to: to, data: append([]byte(nil), b...)})
 }
-func (r *recorder) Log(string) {}
+func (rec *recorder) Log(string) {}
 
-// of returns the actions of a kind for a request ("" for all) and count how many.
-func (r *recorder) of(kind, id string) (list []out) {
-	for _, a := range r.acts {
+// of returns the actions of a kind for a request, or for all requests if id is "".
+func (rec *recorder) of(kind, id string) (list []out) {
+	for _, a := range rec.acts {
 		if a.kind == kind && (id == "" || a.id == id) {
 			list = append(list, a)
 		}
@@ -68,84 +68,85 @@
 
 func gateway(t *testing.T, change func(*Settings)) (*Gateway, *recorder) {
 	t.Helper()
-	s, r := testSettings(), &recorder{}
+	s, rec := testSettings(), &recorder{}
 	if change != nil {
 		change(&s)
 	}
-	g, err := New(s, 7, 100, r)
+	gw, err := New(s, 7, 100, rec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.Servers(100, []Server{{ID: "s1", Zone: "a", Cell: 1}, {ID: "s2", Zone: "a", Cell: 2}, {ID: "s3", Zone: "b", Cell: 3}}, true)
-	return g, r
+	gw.Servers(100, []Server{{ID: "s1", Zone: "a", Cell: 1}, {ID: "s2", Zone: "a", Cell: 2}, {ID: "s3", Zone: "b", Cell: 3}}, true)
+	return gw, rec
 }
 
 func alone(s *Settings) { s.Gateways = 1 }
 
-func ask(g *Gateway, now float64, id, class, plan string, units float64) {
+func ask(gw *Gateway, now float64, id, class, plan string, units float64) {
 	d := 2.0
 	if class != "read" {
 		d = 4
 	}
-	g.Request(now, Request{ID: id, Class: class, Plan: plan, Customer: "c-" + plan, DeadlineS: now + d,
-		First: 0, Entries: g.s.Gateways, Units: units})
+	gw.Request(now, Request{ID: id, Class: class, Plan: plan, Customer: "c-" + plan, DeadlineS: now + d,
+		First: 0, Entries: gw.s.Gateways, Units: units})
 }
 
-func TestQuotaIsHeldAndRefills(t *testing.T) {
-	g, r := gateway(t, alone)
+func TestQuotaIsEnforcedAndRefills(t *testing.T) {
+	gw, rec := gateway(t, alone)
 	for i := range 12 {
-		ask(g, 100, fmt.Sprint("q", i), "pay", "basic", 1)
+		ask(gw, 100, fmt.Sprint("q", i), "pay", "basic", 1)
 	}
-	if n := len(r.of("send", "")); n != 8 {
-		t.Fatalf("%d sent of a burst of 8", n)
+	if n := len(rec.of("send", "")); n != 8 {
+		t.Fatalf("%d requests sent, want the burst of 8", n)
 	}
-	ask(g, 101, "later", "pay", "basic", 2)
-	if len(r.of("send", "later")) != 1 {
-		t.Fatal("the window did not open with time")
+	ask(gw, 101, "later", "pay", "basic", 2)
+	if len(rec.of("send", "later")) != 1 {
+		t.Fatal("no units accrued over time")
 	}
 }
 
-// Guards round 2: a queue promised the same room to every request in it.
-func TestQueuedRequestsHoldTheirUnits(t *testing.T) {
-	g, r := gateway(t, alone)
-	g.Servers(100, []Server{{ID: "s1", Zone: "a", State: Draining}}, true)
+// Queued requests are charged on arrival. Otherwise the same remaining units would be promised to each of
+// them.
+func TestQueuedRequestsKeepTheirUnits(t *testing.T) {
+	gw, rec := gateway(t, alone)
+	gw.Servers(100, []Server{{ID: "s1", Zone: "a", State: Draining}}, true)
 	for i := range 12 {
-		ask(g, 100, fmt.Sprint("q", i), "pay", "basic", 1)
+		ask(gw, 100, fmt.Sprint("q", i), "pay", "basic", 1)
 	}
-	if n := len(r.of("refuse", "")); n != 4 {
-		t.Fatalf("%d refused while 12 units wait for a burst of 8, want 4", n)
+	if n := len(rec.of("refuse", "")); n != 4 {
+		t.Fatalf("%d requests refused of 12 units against a burst of 8, want 4", n)
 	}
 }
 
-func TestParallelPlanIsHeld(t *testing.T) {
-	g, r := gateway(t, alone)
+func TestParallelLimitIsEnforced(t *testing.T) {
+	gw, rec := gateway(t, alone)
 	for i := range 3 {
-		ask(g, 100, fmt.Sprint("q", i), "read", "open", 1)
+		ask(gw, 100, fmt.Sprint("q", i), "read", "open", 1)
 	}
-	if n := len(r.of("send", "")); n != 2 {
-		t.Fatalf("%d attempts out, want 2", n)
+	if n := len(rec.of("send", "")); n != 2 {
+		t.Fatalf("%d attempts in flight, want 2", n)
 	}
-	g.Outcome(100.1, Outcome{ID: "q0", Server: "s1", Status: OK, Over: true, SpentS: 0.1})
-	ask(g, 100.1, "q3", "read", "open", 1)
-	if len(r.of("send", "q3")) != 1 {
-		t.Fatal("an ended attempt did not make room")
+	gw.Outcome(100.1, Outcome{ID: "q0", Server: "s1", Status: OK, Over: true, SpentS: 0.1})
+	ask(gw, 100.1, "q3", "read", "open", 1)
+	if len(rec.of("send", "q3")) != 1 {
+		t.Fatal("an ended attempt did not free its slot")
 	}
 }
 
-// A restarted gateway may just have spent its split of the ceiling.
+// A restarted gateway may just have used up its split of the ceiling, so the split starts empty.
 func TestCeilingSplitStartsEmpty(t *testing.T) {
-	g, r := gateway(t, nil)
-	sent := func() (n int) { return len(r.of("send", "")) }
-	ask(g, 100, "first", "read", "capped", 4)
+	gw, rec := gateway(t, nil)
+	sent := func() (n int) { return len(rec.of("send", "")) }
+	ask(gw, 100, "first", "read", "capped", 4)
 	if sent() != 0 {
-		t.Fatal("units passed with an empty split")
+		t.Fatal("units were admitted with an empty split")
 	}
 	for i := range 400 {
-		ask(g, 101+float64(i)*0.005, fmt.Sprint("q", i), "read", "capped", 1)
-		g.Timer(101+float64(i)*0.005, 1)
+		ask(gw, 101+float64(i)*0.005, fmt.Sprint("q", i), "read", "capped", 1)
+		gw.Timer(101+float64(i)*0.005, 1)
 	}
-	if most := int(20.0 / 2 * 3); sent() == 0 || sent() > most {
-		t.Fatalf("%d units sent on in 3 s, want some and no more than %d", sent(), most)
+	if limit := int(20.0 / 2 * 3); sent() == 0 || sent() > limit {
+		t.Fatalf("%d units sent in 3 s, want some and at most %d", sent(), limit)
 	}
 }
 
@@ -154,156 +155,157 @@
 		status Status
 		want   string
 	}{{Full, "send"}, {ConnectFailed, "send"}, {Moot, "send"}, {Error, "fail"}, {Timeout, "fail"}, {Reset, "fail"}, {Cancelled, "fail"}} {
-		g, r := gateway(t, alone)
-		ask(g, 100, "p", "pay", "wide", 1)
-		first := r.of("send", "p")[0]
-		r.acts = nil
-		g.Outcome(100.2, Outcome{ID: "p", Server: first.server, Status: c.status, SpentS: 0.2})
-		if len(r.of(c.want, "p")) != 1 || len(r.of("send", "p"))+len(r.of("fail", "p"))+len(r.of("refuse", "p")) != 1 {
-			t.Errorf("status %d: want one %s, got %v", c.status, c.want, r.acts)
+		gw, rec := gateway(t, alone)
+		ask(gw, 100, "p", "pay", "wide", 1)
+		first := rec.of("send", "p")[0]
+		rec.acts = nil
+		gw.Outcome(100.2, Outcome{ID: "p", Server: first.server, Status: c.status, SpentS: 0.2})
+		if len(rec.of(c.want, "p")) != 1 || len(rec.of("send", "p"))+len(rec.of("fail", "p"))+len(rec.of("refuse", "p")) != 1 {
+			t.Errorf("status %d: want one %s, got %v", c.status, c.want, rec.acts)
 		}
 	}
 }
 
-// Servers drop repeats of "any" for 0.5 s; this process may stand still for 0.15 s of that.
+// Servers drop repeats of class "any" for 0.5 s. A repeat must begin within that time even if this process is
+// paused for 0.15 s before it sends it.
 func TestKeyedRepeatBeginsWithinItsWindow(t *testing.T) {
 	for _, c := range []struct {
 		endsAfter float64
 		begins    bool
 	}{{0.1, true}, {0.29, true}, {0.31, false}, {0.45, false}} {
-		g, r := gateway(t, alone)
-		ask(g, 100, "t", "any", "wide", 1)
-		first := r.of("send", "t")[0]
+		gw, rec := gateway(t, alone)
+		ask(gw, 100, "t", "any", "wide", 1)
+		first := rec.of("send", "t")[0]
 		if first.start != first.x {
 			t.Fatalf("a first attempt begins within %v s, its answer is awaited for %v s", first.start, first.x)
 		}
-		r.acts = nil
-		g.Outcome(100+c.endsAfter, Outcome{ID: "t", Server: first.server, Status: Reset, SpentS: c.endsAfter})
-		again := r.of("send", "t")
+		rec.acts = nil
+		gw.Outcome(100+c.endsAfter, Outcome{ID: "t", Server: first.server, Status: Reset, SpentS: c.endsAfter})
+		again := rec.of("send", "t")
 		if (len(again) == 1) != c.begins {
 			t.Errorf("after %v s: %d repeats", c.endsAfter, len(again))
 		}
 		for _, a := range again {
 			if begins := c.endsAfter + a.start; begins > 0.3+1e-9 || a.start >= a.x {
-				t.Errorf("after %v s: a repeat may begin %v s after the first attempt, want 0.15 s and more before 0.5 s", c.endsAfter, begins)
+				t.Errorf("after %v s: a repeat may begin %v s after the first attempt, want at least 0.15 s before 0.5 s", c.endsAfter, begins)
 			}
 		}
 	}
 }
 
-func TestKeyedResendsStayInGroupAndTime(t *testing.T) {
+func TestKeyedRetriesStayInGroupAndTime(t *testing.T) {
 	zone := map[string]string{"s1": "a", "s2": "a", "s3": "b"}
 	for seed := range 20 {
-		g, r := gateway(t, alone)
+		gw, rec := gateway(t, alone)
 		id := fmt.Sprint("k", seed)
-		ask(g, 100, id, "put", "wide", 1)
-		first := r.of("send", id)[0].server
-		r.acts = nil
-		g.Outcome(100.2, Outcome{ID: id, Server: first, Status: Reset, SpentS: 0.2})
-		for _, a := range r.of("send", id) {
+		ask(gw, 100, id, "put", "wide", 1)
+		first := rec.of("send", id)[0].server
+		rec.acts = nil
+		gw.Outcome(100.2, Outcome{ID: id, Server: first, Status: Reset, SpentS: 0.2})
+		for _, a := range rec.of("send", id) {
 			if zone[a.server] != zone[first] {
-				t.Fatalf("resent from %s to %s, another zone", first, a.server)
+				t.Fatalf("retried from %s at %s in another zone", first, a.server)
 			}
 		}
 	}
-	g, r := gateway(t, alone)
-	ask(g, 100, "c", "cell", "wide", 1)
-	first := r.of("send", "c")[0].server
-	g.Outcome(100.2, Outcome{ID: "c", Server: first, Status: Error, SpentS: 0.2})
-	for _, a := range r.of("send", "c") {
+	gw, rec := gateway(t, alone)
+	ask(gw, 100, "c", "cell", "wide", 1)
+	first := rec.of("send", "c")[0].server
+	gw.Outcome(100.2, Outcome{ID: "c", Server: first, Status: Error, SpentS: 0.2})
+	for _, a := range rec.of("send", "c") {
 		if a.server != first {
-			t.Fatalf("resent to %s, another cell", a.server)
+			t.Fatalf("retried at %s in another cell", a.server)
 		}
 	}
-	g, r = gateway(t, alone)
-	ask(g, 100, "t", "any", "wide", 1)
-	first = r.of("send", "t")[0].server
-	g.Outcome(100.6, Outcome{ID: "t", Server: first, Status: Error, SpentS: 0.6})
-	if len(r.of("send", "t")) != 1 || len(r.of("refuse", "t")) != 1 {
-		t.Fatalf("past the key's time: want a refusal and no resend, got %v", r.acts)
+	gw, rec = gateway(t, alone)
+	ask(gw, 100, "t", "any", "wide", 1)
+	first = rec.of("send", "t")[0].server
+	gw.Outcome(100.6, Outcome{ID: "t", Server: first, Status: Error, SpentS: 0.6})
+	if len(rec.of("send", "t")) != 1 || len(rec.of("refuse", "t")) != 1 {
+		t.Fatalf("after the key has expired: want a refusal and no retry, got %v", rec.acts)
 	}
 }
 
-func TestAnswerIsOwedAfterTimeoutAtDeadline(t *testing.T) {
+func TestFinalAnswerAfterTimeoutAtDeadline(t *testing.T) {
 	for class, want := range map[string]string{"read": "refuse", "put": "fail", "any": "refuse", "pay": "fail"} {
-		g, r := gateway(t, alone)
-		ask(g, 100, "d", class, "wide", 1)
-		first := r.of("send", "d")[0].server
-		r.acts = nil
-		g.Outcome(104, Outcome{ID: "d", Server: first, Status: Timeout, SpentS: 4})
-		if len(r.of(want, "d")) != 1 || len(r.of("send", "d")) != 0 {
-			t.Errorf("%s: want one %s in the same batch, got %v", class, want, r.acts)
+		gw, rec := gateway(t, alone)
+		ask(gw, 100, "d", class, "wide", 1)
+		first := rec.of("send", "d")[0].server
+		rec.acts = nil
+		gw.Outcome(104, Outcome{ID: "d", Server: first, Status: Timeout, SpentS: 4})
+		if len(rec.of(want, "d")) != 1 || len(rec.of("send", "d")) != 0 {
+			t.Errorf("%s: want one %s in the same batch, got %v", class, want, rec.acts)
 		}
 	}
 }
 
-// Guards round 1: a client's late try with 5 ms left waited past its deadline.
-func TestTryWithNoTimeLeftIsRefusedAtOnce(t *testing.T) {
-	g, r := gateway(t, alone)
-	g.Servers(100, []Server{{ID: "s1", Zone: "a", State: Draining}}, true)
-	g.Request(100, Request{ID: "x", Class: "read", Plan: "basic", Customer: "c", DeadlineS: 100.005, Entries: 1, Units: 1})
-	if len(r.of("refuse", "x")) != 1 {
-		t.Fatal("no answer in the batch of its arrival")
+// A client retry that arrives 5 ms before its deadline must not wait in the queue past it.
+func TestRequestWithNoTimeLeftIsRefusedAtOnce(t *testing.T) {
+	gw, rec := gateway(t, alone)
+	gw.Servers(100, []Server{{ID: "s1", Zone: "a", State: Draining}}, true)
+	gw.Request(100, Request{ID: "x", Class: "read", Plan: "basic", Customer: "c", DeadlineS: 100.005, Entries: 1, Units: 1})
+	if len(rec.of("refuse", "x")) != 1 {
+		t.Fatal("not refused on arrival")
 	}
 }
 
 func TestQueuedRequestIsAnsweredBeforeItsDeadline(t *testing.T) {
-	g, r := gateway(t, alone)
-	g.Servers(100, nil, true)
-	ask(g, 100, "w", "read", "basic", 1)
+	gw, rec := gateway(t, alone)
+	gw.Servers(100, nil, true)
+	ask(gw, 100, "w", "read", "basic", 1)
 	for now := 100.0; now < 102; now += 0.02 {
-		g.Timer(now, 1)
+		gw.Timer(now, 1)
 	}
-	if len(r.of("refuse", "w"))+len(r.of("fail", "w")) != 1 {
-		t.Fatalf("want one answer, got %v", r.acts)
+	if len(rec.of("refuse", "w"))+len(rec.of("fail", "w")) != 1 {
+		t.Fatalf("want one answer, got %v", rec.acts)
 	}
 }
 
-func TestDrainNoticeHoldsForQueuedRequests(t *testing.T) {
-	g, r := gateway(t, alone)
+func TestDrainAppliesToQueuedRequests(t *testing.T) {
+	gw, rec := gateway(t, alone)
 	for i := range 200 {
-		ask(g, 100, fmt.Sprint("q", i), "read", "wide", 1)
+		ask(gw, 100, fmt.Sprint("q", i), "read", "wide", 1)
 	}
-	if len(g.queue) == 0 {
-		t.Fatal("nothing waits, the test shows nothing")
+	if len(gw.queue) == 0 {
+		t.Fatal("no request is queued, so the test shows nothing")
 	}
-	g.Servers(100.1, []Server{{ID: "s1", Zone: "a", Cell: 1, State: Draining}, {ID: "s2", State: Removed}}, false)
-	before := len(r.acts)
+	gw.Servers(100.1, []Server{{ID: "s1", Zone: "a", Cell: 1, State: Draining}, {ID: "s2", State: Removed}}, false)
+	before := len(rec.acts)
 	for i := range 200 {
 		id := fmt.Sprint("q", i)
-		for n, a := range r.of("send", id) {
-			g.Outcome(100.2, Outcome{ID: id, Server: a.server, Attempt: n, Status: OK, Over: true, SpentS: 0.1})
+		for n, a := range rec.of("send", id) {
+			gw.Outcome(100.2, Outcome{ID: id, Server: a.server, Attempt: n, Status: OK, Over: true, SpentS: 0.1})
 		}
 	}
 	later := 0
-	for _, a := range r.acts[before:] {
+	for _, a := range rec.acts[before:] {
 		if a.kind == "send" {
 			later++
 			if a.server != "s3" {
-				t.Fatalf("sent to %s after its drain notice", a.server)
+				t.Fatalf("sent to %s after it began to drain", a.server)
 			}
 		}
 	}
 	if later == 0 {
-		t.Fatal("nothing was sent after the notice, the test shows nothing")
+		t.Fatal("nothing was sent after the drain began, so the test shows nothing")
 	}
 }
 
 func TestColdServerKeepsToItsShareOverAnyWindow(t *testing.T) {
-	g, r := gateway(t, alone)
-	at := func(id string) string { s := r.of("send", id); return s[len(s)-1].server }
+	gw, rec := gateway(t, alone)
+	at := func(id string) string { s := rec.of("send", id); return s[len(s)-1].server }
 	step := func(i int, now float64) string {
 		id := fmt.Sprint("q", i)
-		ask(g, now, id, "read", "wide", 1)
+		ask(gw, now, id, "read", "wide", 1)
 		s := at(id)
-		g.Outcome(now+0.01, Outcome{ID: id, Server: s, Status: OK, Over: true, SpentS: 0.1})
-		g.Timer(now+0.01, 1)
+		gw.Outcome(now+0.01, Outcome{ID: id, Server: s, Status: OK, Over: true, SpentS: 0.1})
+		gw.Timer(now+0.01, 1)
 		return s
 	}
 	for i := range 300 {
 		step(i, 100+float64(i)*0.02)
 	}
-	g.Servers(106, []Server{{ID: "s1", Zone: "a", Cell: 1, SinceS: 105.9}}, false)
+	gw.Servers(106, []Server{{ID: "s1", Zone: "a", Cell: 1, SinceS: 105.9}}, false)
 	cold, warm := 0, 0
 	for i := range 50 {
 		if step(1000+i, 106+float64(i)*0.02) == "s1" {
@@ -313,159 +315,160 @@
 		}
 	}
 	if cold > warm/2 {
-		t.Fatalf("a cold server got %d sends, two warm ones %d", cold, warm)
+		t.Fatalf("a cold server got %d requests, two warm ones %d", cold, warm)
 	}
 }
 
-// pair joins two gateways by a perfect wire.
-func pair(t *testing.T) (g [2]*Gateway, r [2]*recorder, pump func(now float64)) {
+// pair connects two gateways without message loss or delay.
+func pair(t *testing.T) (gw [2]*Gateway, rec [2]*recorder, pump func(now float64)) {
 	for i := range 2 {
-		g[i], r[i] = gateway(t, func(s *Settings) { s.Me = i })
+		gw[i], rec[i] = gateway(t, func(s *Settings) { s.Me = i })
 	}
 	seen := [2]int{}
-	return g, r, func(now float64) {
+	return gw, rec, func(now float64) {
 		for i := range 2 {
-			g[i].Timer(now, 1)
+			gw[i].Timer(now, 1)
 		}
 		for i := range 2 {
-			for ; seen[i] < len(r[i].acts); seen[i]++ {
-				if a := r[i].acts[seen[i]]; a.kind == "tell" {
-					g[1-i].Peer(now, i, a.data)
+			for ; seen[i] < len(rec[i].acts); seen[i]++ {
+				if a := rec[i].acts[seen[i]]; a.kind == "tell" {
+					gw[1-i].Peer(now, i, a.data)
 				}
 			}
 		}
 	}
 }
 
-func TestOneCountSeesAllTrafficOfACustomer(t *testing.T) {
-	g, r, pump := pair(t)
+func TestOwnerCountsTrafficOfAllGateways(t *testing.T) {
+	gw, rec, pump := pair(t)
 	units, seen := 0, [2]int{}
 	for i := range 500 {
 		now := 100 + float64(i)*0.02
-		ask(g[i%2], now, fmt.Sprint("q", i), "read", "basic", 1)
+		ask(gw[i%2], now, fmt.Sprint("q", i), "read", "basic", 1)
 		pump(now)
 		for k := range 2 {
-			units += len(served(g[k], r[k], &seen[k], now))
+			units += len(served(gw[k], rec[k], &seen[k], now))
 		}
 	}
-	// 10 s of 2 a second and a burst of 8.
+	// 10 s at 2 units per second and a burst of 8.
 	if units < 22 || units > 31 {
-		t.Fatalf("%d units sent on, the quota holds 28", units)
+		t.Fatalf("%d units sent, the quota is 28", units)
 	}
 }
 
-// served answers all that was sent since the last call.
-func served(g *Gateway, r *recorder, seen *int, now float64) (ids []string) {
-	for ; *seen < len(r.acts); *seen++ {
-		if a := r.acts[*seen]; a.kind == "send" {
+// served answers all attempts sent since the last call.
+func served(gw *Gateway, rec *recorder, seen *int, now float64) (ids []string) {
+	for ; *seen < len(rec.acts); *seen++ {
+		if a := rec.acts[*seen]; a.kind == "send" {
 			ids = append(ids, a.id)
-			g.Outcome(now, Outcome{ID: a.id, Server: a.server, Status: OK, Over: true, SpentS: 0.05})
+			gw.Outcome(now, Outcome{ID: a.id, Server: a.server, Status: OK, Over: true, SpentS: 0.05})
 		}
 	}
 	return ids
 }
 
-func TestRestartedOwnerIsRefilledByTheNextBatch(t *testing.T) {
-	g, r, pump := pair(t)
-	own := g[0].customer(Request{Customer: "c-basic", Plan: "basic", Entries: 2}).prime
-	m, seen := 1-own, 0
+func TestRestartedOwnerRestoresItsCountFromReports(t *testing.T) {
+	gw, rec, pump := pair(t)
+	owner := gw[0].customer(Request{Customer: "c-basic", Plan: "basic", Entries: 2}).prime
+	m, seen := 1-owner, 0
 	for i := range 100 {
 		now := 102 + float64(i)*0.02
-		ask(g[m], now, fmt.Sprint("q", i), "read", "basic", 1)
+		ask(gw[m], now, fmt.Sprint("q", i), "read", "basic", 1)
 		pump(now)
-		served(g[m], r[m], &seen, now)
+		served(gw[m], rec[m], &seen, now)
 	}
 	s := testSettings()
-	s.Me = own
-	fresh, err := New(s, 99, 104, r[own])
+	s.Me = owner
+	fresh, err := New(s, 99, 104, rec[owner])
 	if err != nil {
 		t.Fatal(err)
 	}
 	fresh.Servers(104, []Server{{ID: "s1", Zone: "a", Cell: 1}}, true)
-	g[own] = fresh
-	n := len(r[m].acts)
+	gw[owner] = fresh
+	n := len(rec[m].acts)
 	for now := 104.02; now < 104.3; now += 0.02 {
-		ask(g[m], now, fmt.Sprint("after", now), "read", "basic", 1)
-		g[m].Timer(now, 1)
+		ask(gw[m], now, fmt.Sprint("after", now), "read", "basic", 1)
+		gw[m].Timer(now, 1)
 	}
-	for _, a := range r[m].acts[n:] {
+	for _, a := range rec[m].acts[n:] {
 		if a.kind == "tell" {
 			fresh.Peer(104.3, m, a.data)
 		}
 	}
 	c := fresh.custs[uint32(hashOf("c-basic")>>32)]
 	if c == nil || fresh.ledger(c).room > 4 {
-		t.Fatal("the restarted owner grants a fresh window")
+		t.Fatal("the restarted owner grants a full window again")
 	}
 }
 
-// asMember returns a gateway of a fleet and a customer's request that another one owns.
+// asMember returns a gateway of a fleet, and a function that sends it a request of a customer that another
+// gateway owns.
 func asMember(t *testing.T, change func(*Settings)) (*Gateway, *recorder, func(now float64, id string, units float64) *customer) {
 	t.Helper()
-	g, r := gateway(t, change)
+	gw, rec := gateway(t, change)
 	name := ""
 	for i := 0; ; i++ {
 		name = fmt.Sprint("k", i)
-		if g.walk(&customer{hash: hashOf(name), entries: g.s.Gateways}, false) != g.s.Me {
+		if gw.walk(&customer{hash: hashOf(name), entries: gw.s.Gateways}, false) != gw.s.Me {
 			break
 		}
 	}
-	return g, r, func(now float64, id string, units float64) *customer {
-		g.Request(now, Request{ID: id, Class: "read", Plan: "basic", Customer: name, DeadlineS: now + 2, Entries: g.s.Gateways,
+	return gw, rec, func(now float64, id string, units float64) *customer {
+		gw.Request(now, Request{ID: id, Class: "read", Plan: "basic", Customer: name, DeadlineS: now + 2, Entries: gw.s.Gateways,
 			Units: units})
-		return g.custs[uint32(hashOf(name)>>32)]
+		return gw.custs[uint32(hashOf(name)>>32)]
 	}
 }
 
 func fleet(n int) func(*Settings) { return func(s *Settings) { s.Gateways = n } }
 
-// verdictOf is the owner's answer to the last report a gateway has sent.
-func verdictOf(t *testing.T, r *recorder, seq uint16, change func(*record)) (from int, data []byte) {
+// verdictOf returns the owner's reply to the last report that a gateway has sent.
+func verdictOf(t *testing.T, rec *recorder, seq uint16, change func(*record)) (from int, data []byte) {
 	t.Helper()
-	tells := r.of("tell", "")
+	tells := rec.of("tell", "")
 	if len(tells) == 0 {
-		t.Fatal("nothing was told")
+		t.Fatal("no message was sent")
 	}
 	last := tells[len(tells)-1]
 	_, _, recs, _, ok := parseMessage(last.data, 0)
 	if !ok || len(recs) == 0 {
-		t.Fatal("no report was told")
+		t.Fatal("no report was sent")
 	}
-	v := record{Key: recs[0].Key, Plan: recs[0].Plan, Owner: true, Known: true, Total: recs[0].Total, Want: recs[0].Want}
-	change(&v)
-	b := appendRecord(appendHeader(nil, 9, seq), v)
+	reply := record{Key: recs[0].Key, Plan: recs[0].Plan, Owner: true, Known: true, Total: recs[0].Total, Want: recs[0].Want}
+	change(&reply)
+	b := appendRecord(appendHeader(nil, 9, seq), reply)
 	b[msgCount] = 1
 	return last.to, b
 }
 
-// Guards round 24: with a hundred gateways a split is under one request and news are old; what is asked
-// beyond the quota passed at each of them, or was refused with room.
-func TestMemberWaitsForTheOwnersWord(t *testing.T) {
+// With a hundred gateways a member's split is smaller than one request, and its last reply is old. Members
+// that decided alone admitted units beyond the quota at each gateway, or refused while units remained.
+func TestMemberWaitsForTheOwnersReply(t *testing.T) {
 	for _, grant := range []float64{0, 2} {
-		g, r, ask := asMember(t, fleet(100))
+		gw, rec, ask := asMember(t, fleet(100))
 		ask(100, "q", 2)
-		if len(r.of("send", ""))+len(r.of("refuse", "")) != 0 {
-			t.Fatal("a gateway of a hundred decided alone")
+		if len(rec.of("send", ""))+len(rec.of("refuse", "")) != 0 {
+			t.Fatal("one of a hundred gateways decided alone")
 		}
-		from, b := verdictOf(t, r, 1, func(v *record) { v.Total += grant; v.Room = 1 })
-		g.Peer(100.03, from, b)
-		if sent := len(r.of("send", "q")); sent != int(grant/2) || sent+len(r.of("refuse", "q")) != 1 {
-			t.Fatalf("granted %v of 2 units: %v", grant, r.acts)
+		from, b := verdictOf(t, rec, 1, func(reply *record) { reply.Total += grant; reply.Room = 1 })
+		gw.Peer(100.03, from, b)
+		if sent := len(rec.of("send", "q")); sent != int(grant/2) || sent+len(rec.of("refuse", "q")) != 1 {
+			t.Fatalf("%v of 2 units granted: %v", grant, rec.acts)
 		}
 	}
 }
 
-func TestOwnerGrantsWhatItHasRoomFor(t *testing.T) {
-	g, r := gateway(t, fleet(100))
+func TestOwnerGrantsRemainingUnits(t *testing.T) {
+	gw, rec := gateway(t, fleet(100))
 	granted := 0.0
 	for i := range 30 {
 		b := appendRecord(appendHeader(nil, 1, 1), record{Key: 77, Plan: 0, Want: 1, First: 1})
 		b[msgCount] = 1
-		g.Peer(100, 1+i, b)
-		tells := r.of("tell", "")
+		gw.Peer(100, 1+i, b)
+		tells := rec.of("tell", "")
 		_, _, recs, _, _ := parseMessage(tells[len(tells)-1].data, 100)
 		if granted += recs[0].Total; i == 29 && recs[0].Hold == 0 {
-			t.Fatal("an owner asked thirty times at once did not tell its members to hold")
+			t.Fatal("an owner that was asked thirty times at once did not tell its members to wait")
 		}
 	}
 	if granted != 8 {
@@ -473,63 +476,63 @@
 	}
 }
 
-// A grant that its member did not use must not stay set aside.
-func TestUnusedGrantIsGivenBack(t *testing.T) {
-	g, _ := gateway(t, fleet(100))
-	tell := func(seq uint16, r record) {
-		b := appendRecord(appendHeader(nil, 1, seq), r)
+// Units that were granted but not used must not stay reserved.
+func TestUnusedGrantIsReturned(t *testing.T) {
+	gw, _ := gateway(t, fleet(100))
+	report := func(seq uint16, rec record) {
+		b := appendRecord(appendHeader(nil, 1, seq), rec)
 		b[msgCount] = 1
-		g.Peer(100, 1, b)
+		gw.Peer(100, 1, b)
 	}
-	tell(1, record{Key: 77, Want: 6, First: 6})
-	tell(2, record{Key: 77, Want: 6, First: 6}) // told again, as the answer was lost
-	if room := g.custs[77].led.room; room != 2 {
-		t.Fatalf("room is %v after 6 of 8 were set aside, told twice", room)
+	report(1, record{Key: 77, Want: 6, First: 6})
+	report(2, record{Key: 77, Want: 6, First: 6}) // reported again, as the reply was lost
+	if remaining := gw.custs[77].led.room; remaining != 2 {
+		t.Fatalf("%v units remain after 6 of 8 were requested in two reports, want 2", remaining)
 	}
-	tell(3, record{Key: 77})
-	if room := g.custs[77].led.room; room != 8 {
-		t.Fatalf("room is %v after the grant was handed back", room)
+	report(3, record{Key: 77})
+	if remaining := gw.custs[77].led.room; remaining != 8 {
+		t.Fatalf("%v units remain after the grant was returned, want 8", remaining)
 	}
 }
 
 func TestUnansweredRequestFallsBackInTime(t *testing.T) {
-	g, r, ask := asMember(t, fleet(100))
+	gw, rec, ask := asMember(t, fleet(100))
 	ask(100, "q", 2)
-	first := r.of("tell", "")[0].to
+	first := rec.of("tell", "")[0].to
 	now := 100.0
-	for ; len(r.of("send", ""))+len(r.of("refuse", "")) == 0 && now < 101; now += 0.02 {
-		g.Timer(now, 1)
+	for ; len(rec.of("send", ""))+len(rec.of("refuse", "")) == 0 && now < 101; now += 0.02 {
+		gw.Timer(now, 1)
 	}
-	if len(r.of("send", "q")) != 1 || now > 100+(askTries+1)*(askWaitS+tickS) {
-		t.Fatalf("no local window by %v", now)
+	if len(rec.of("send", "q")) != 1 || now > 100+(askTries+1)*(askWaitS+tickS) {
+		t.Fatalf("the local window had not decided by %v", now)
 	}
-	if tells := r.of("tell", ""); len(tells) < askTries || tells[len(tells)-1].to == first {
-		t.Fatalf("a silent owner was never passed over: %v", tells)
+	if tells := rec.of("tell", ""); len(tells) < askTries || tells[len(tells)-1].to == first {
+		t.Fatalf("a silent owner was never skipped: %v", tells)
 	}
-	if g.alive(first) {
-		t.Fatal("an owner that left all unanswered counts as alive")
+	if gw.alive(first) {
+		t.Fatal("an owner that answered no report counts as responsive")
 	}
 }
 
-// Guards balancer_stall: a gateway that stood still took its owners for silent.
-func TestOwnGapIsNobodysSilence(t *testing.T) {
-	g, r, ask := asMember(t, fleet(100))
+// A gateway that was paused itself must not conclude that the owners did not answer meanwhile.
+func TestOwnPauseDoesNotCountAsSilence(t *testing.T) {
+	gw, rec, ask := asMember(t, fleet(100))
 	ask(100, "q", 2)
-	first := r.of("tell", "")[0].to
-	g.Timer(100.5, 1)
-	if !g.alive(first) || len(r.of("tell", "")) != 1 {
-		t.Fatal("a gap of this gateway counted as silence of another")
+	first := rec.of("tell", "")[0].to
+	gw.Timer(100.5, 1)
+	if !gw.alive(first) || len(rec.of("tell", "")) != 1 {
+		t.Fatal("a pause of this gateway counted as silence of a peer")
 	}
-	from, b := verdictOf(t, r, 1, func(v *record) { v.Total += 2 })
-	g.Peer(100.5, from, b)
-	if len(r.of("send", "q")) != 1 {
-		t.Fatal("the verdict that came meanwhile was not used")
+	from, b := verdictOf(t, rec, 1, func(reply *record) { reply.Total += 2 })
+	gw.Peer(100.5, from, b)
+	if len(rec.of("send", "q")) != 1 {
+		t.Fatal("the reply that arrived meanwhile was not used")
 	}
 }
 
-// The splits and the pool add up to the ceiling, whatever is lost or restarted.
+// The splits and the reserve add up to the ceiling through lost messages and restarted gateways.
 func TestCeilingAddsUpThroughLossAndRestarts(t *testing.T) {
-	// The pool is half of the ceiling, then as large as one gateway needs.
+	// The reserve is half of the ceiling first, then as large as one gateway needs.
 	for _, quota := range [][2]float64{{1000, 4000}, {10, 20}} {
 		ceilingAddsUp(t, quota[0], quota[1])
 	}
@@ -538,15 +541,15 @@
 func ceilingAddsUp(t *testing.T, rate, burst float64) {
 	t.Helper()
 	const n = 6
-	var gs [n]*Gateway
-	var rs [n]*recorder
+	var gateways [n]*Gateway
+	var recs [n]*recorder
 	var seen [n]int
 	born := func(i int, now float64) {
 		s := testSettings()
 		s.Me, s.Gateways, s.Plans[1].Rate, s.Plans[1].Burst = i, n, rate, burst
-		rs[i], seen[i] = &recorder{}, 0
-		gs[i], _ = New(s, uint64(i), now, rs[i])
-		gs[i].Servers(now, []Server{{ID: "s1"}, {ID: "s2"}}, true)
+		recs[i], seen[i] = &recorder{}, 0
+		gateways[i], _ = New(s, uint64(i), now, recs[i])
+		gateways[i].Servers(now, []Server{{ID: "s1"}, {ID: "s2"}}, true)
 	}
 	for i := range n {
 		born(i, 100)
@@ -558,173 +561,177 @@
 			born(k/300%n, now)
 		}
 		i := k * 7 % n
-		gs[i].Request(now, Request{ID: fmt.Sprint("q", k), Class: "read", Plan: "capped", Customer: "c", DeadlineS: now + 2,
+		gateways[i].Request(now, Request{ID: fmt.Sprint("q", k), Class: "read", Plan: "capped", Customer: "c", DeadlineS: now + 2,
 			Entries: n, Units: 2})
 		for i := range n {
-			if gs[i].Timer(now, 1); k%4 != 0 {
+			if gateways[i].Timer(now, 1); k%4 != 0 {
 				continue
 			}
-			for ; seen[i] < len(rs[i].acts); seen[i]++ {
-				switch a := rs[i].acts[seen[i]]; {
+			for ; seen[i] < len(recs[i].acts); seen[i]++ {
+				switch a := recs[i].acts[seen[i]]; {
 				case a.kind == "send":
 					units += 2
-					gs[i].Outcome(now, Outcome{ID: a.id, Status: OK, Over: true, SpentS: 0.05})
+					gateways[i].Outcome(now, Outcome{ID: a.id, Status: OK, Over: true, SpentS: 0.05})
 				case a.kind == "tell" && seen[i]%5 != 0:
-					gs[a.to].Peer(now, i, a.data)
+					gateways[a.to].Peer(now, i, a.data)
 				}
 			}
 		}
 	}
-	// 10 s of 20 units a second and a burst of 40.
+	// 10 s at 20 units per second and a burst of 40.
 	if units > 240 || units < 60 {
-		t.Fatalf("%v units sent on under a ceiling of 240", units)
+		t.Fatalf("%v units sent under a ceiling of 240", units)
 	}
 }
 
-// Guards round 26 (i1620fa): the fleet grew from 37 to 189 servers while the limit stayed.
-func TestLimitGoesWithTheNumberOfServers(t *testing.T) {
-	g, _ := gateway(t, alone)
-	before := g.limit
+// The limit must follow the number of servers. It once stayed the same while the list grew from 37 to 189
+// servers (issue i1620fa).
+func TestLimitFollowsTheNumberOfServers(t *testing.T) {
+	gw, _ := gateway(t, alone)
+	before := gw.limit
 	var more []Server
 	for i := range 27 {
 		more = append(more, Server{ID: fmt.Sprint("m", i), Zone: "a"})
 	}
-	if g.Servers(101, more, false); g.limit != 10*before {
-		t.Fatalf("limit %v with 3 servers, %v with 30", before, g.limit)
+	if gw.Servers(101, more, false); gw.limit != 10*before {
+		t.Fatalf("limit %v with 3 servers, %v with 30, want ten times as much", before, gw.limit)
 	}
-	g.Servers(102, nil, true)
-	if g.Servers(103, more, true); g.limit <= 0 {
-		t.Fatal("an empty list left no limit")
+	gw.Servers(102, nil, true)
+	if gw.Servers(103, more, true); gw.limit <= 0 {
+		t.Fatal("after an empty list the limit is 0")
 	}
 }
 
-// Guards round 27 (class_fail): servers that answer other classes left one unanswered for good.
-func TestServerSickForOneClassServesTheOthers(t *testing.T) {
-	g, r := gateway(t, alone)
-	for _, k := range g.classList {
+// Servers can leave one class unanswered and go on answering the others. Such a server must lose only that
+// class.
+func TestServerSuspectedForOneClassServesTheOthers(t *testing.T) {
+	gw, rec := gateway(t, alone)
+	for _, k := range gw.classList {
 		k.lat, k.n = 0.05, 100
 	}
-	sick := g.servers["s1"]
-	ask(g, 100, "q", "read", "wide", 1)
-	r.acts = nil
-	g.reqs["q"].attempts[0].srv = sick
+	suspected := gw.servers["s1"]
+	ask(gw, 100, "q", "read", "wide", 1)
+	rec.acts = nil
+	gw.reqs["q"].attempts[0].srv = suspected
 	for now := 100.02; now < 100.5; now += 0.02 {
-		g.Timer(now, 1)
+		gw.Timer(now, 1)
 	}
-	if g.sickness(sick, g.classes["read"]) < 0.9 || g.sickness(sick, g.classes["pay"]) > 0 {
-		t.Fatal("silence for a class is not told from silence for all")
+	if gw.sickness(suspected, gw.classes["read"]) < 0.9 || gw.sickness(suspected, gw.classes["pay"]) > 0 {
+		t.Fatal("silence for one class is not distinguished from silence for all")
 	}
-	if a := r.of("send", "q"); len(a) != 1 || a[0].server == "s1" {
-		t.Fatalf("the silent attempt was not tried elsewhere: %v", a)
+	if a := rec.of("send", "q"); len(a) != 1 || a[0].server == "s1" {
+		t.Fatalf("the unanswered attempt was not hedged: %v", a)
 	}
 	pays := 0
 	for i := range 40 {
 		for _, class := range []string{"read", "pay"} {
 			id := fmt.Sprint(class, i)
-			ask(g, 100.5, id, class, "wide", 1)
-			at := r.of("send", id)[0].server
-			if g.Outcome(100.5, Outcome{ID: id, Status: OK, Over: true, SpentS: 0.05}); at == "s1" && class == "read" {
-				t.Fatal("a server sick for a class was sent it")
+			ask(gw, 100.5, id, class, "wide", 1)
+			at := rec.of("send", id)[0].server
+			if gw.Outcome(100.5, Outcome{ID: id, Status: OK, Over: true, SpentS: 0.05}); at == "s1" && class == "read" {
+				t.Fatal("a server that is suspected for a class was sent a request of it")
 			} else if at == "s1" {
 				pays++
 			}
 		}
 	}
 	if pays == 0 {
-		t.Fatal("the server lost the classes that it serves")
+		t.Fatal("the server was sent no request of the class that it answers")
 	}
 }
 
-// What one gateway of many sees too rarely is told: use and sickness of servers ride on messages.
-func TestNewsOfServersIsToldOn(t *testing.T) {
-	a, ra, ask := asMember(t, fleet(100))
-	b, rb := gateway(t, func(s *Settings) { s.Gateways, s.Me = 100, 1 })
+// One gateway of many sees each server too rarely, so utilization and suspicion of servers are gossiped with
+// other messages.
+func TestServerUpdatesAreGossiped(t *testing.T) {
+	a, recA, ask := asMember(t, fleet(100))
+	b, recB := gateway(t, func(s *Settings) { s.Gateways, s.Me = 100, 1 })
 	a.fails(a.servers["s2"], a.classes["pay"], 1)
 	a.report(a.servers["s1"], &Load{Util: 0.6})
 	ask(100, "q", 2)
-	b.Peer(100.01, 0, ra.of("tell", "")[0].data)
+	b.Peer(100.01, 0, recA.of("tell", "")[0].data)
 	if b.sickness(b.servers["s2"], b.classes["pay"]) < 0.9 || b.sickness(b.servers["s2"], b.classes["read"]) > 0 {
-		t.Fatal("sickness was not told on")
+		t.Fatal("the suspicion was not passed on")
 	}
 	if u := b.servers["s1"].util; u < 0.59 || u > 0.61 {
-		t.Fatalf("use told is %v", u)
+		t.Fatalf("utilization passed on as %v, want 0.6", u)
 	}
-	_, _, _, items, _ := parseMessage(rb.of("tell", "")[0].data, 100)
-	if len(items) != 2 {
-		t.Fatalf("%d news told on, want 2", len(items))
+	_, _, _, updates, _ := parseMessage(recB.of("tell", "")[0].data, 100)
+	if len(updates) != 2 {
+		t.Fatalf("%d server updates passed on, want 2", len(updates))
 	}
 	old := b.servers["s1"].utilAt
 	if b.told(item{b.servers["s1"].hash, loadItem, 0.1, old - 1}); b.servers["s1"].util < 0.5 {
-		t.Fatal("older news overtook newer")
+		t.Fatal("an older update replaced a newer one")
 	}
 }
 
-// A request costs two messages at most, however many gateways there are.
-func TestMessagesFollowRequestsNotTheFleet(t *testing.T) {
-	g, r, ask := asMember(t, fleet(500))
+// A request costs at most two messages, whatever the size of the fleet.
+func TestMessagesDoNotGrowWithTheFleet(t *testing.T) {
+	gw, rec, ask := asMember(t, fleet(500))
 	for now := 100.0; now < 102; now += 0.02 {
-		g.Timer(now, 1)
+		gw.Timer(now, 1)
 	}
-	if n := len(r.of("tell", "")); n != 0 {
+	if n := len(rec.of("tell", "")); n != 0 {
 		t.Fatalf("%d messages without a request", n)
 	}
 	ask(102, "q", 2)
-	if n := len(r.of("tell", "")); n != 1 {
+	if n := len(rec.of("tell", "")); n != 1 {
 		t.Fatalf("%d messages for a request", n)
 	}
 }
 
 func TestSilentOwnerLeavesTheRing(t *testing.T) {
-	g, _, ask := asMember(t, nil)
+	gw, _, ask := asMember(t, nil)
 	c := ask(100, "q", 1)
-	g.peers[1].missed, g.peers[1].missAt = missMost, 100
-	if g.owner(c) != 0 {
-		t.Fatal("a silent owner still owns")
+	gw.peers[1].missed, gw.peers[1].missAt = missMost, 100
+	if gw.owner(c) != 0 {
+		t.Fatal("a silent owner still owns the customer")
 	}
-	if g.now = 100 + silentRetryS + 0.01; g.owner(c) != 1 {
-		t.Fatal("a silent owner is never tried again")
+	if gw.now = 100 + silentRetryS + 0.01; gw.owner(c) != 1 {
+		t.Fatal("a silent owner is never used again")
 	}
 }
 
-// Guards rounds 4 and 5: later tries were served after their aim.
-func TestLaterTriesAreToldFromFirstOnes(t *testing.T) {
-	g, r := gateway(t, alone)
+// The target of a client retry counts from the first request. Otherwise retries are answered after the
+// target.
+func TestClientRetriesAreRecognized(t *testing.T) {
+	gw, rec := gateway(t, alone)
 	for i := range 40 {
 		id := fmt.Sprint("q", i)
-		ask(g, 100+float64(i), id, "read", "basic", 1)
-		g.Outcome(100+float64(i), Outcome{ID: id, Server: r.of("send", id)[0].server, Status: OK, Over: true, SpentS: 0.1})
+		ask(gw, 100+float64(i), id, "read", "basic", 1)
+		gw.Outcome(100+float64(i), Outcome{ID: id, Server: rec.of("send", id)[0].server, Status: OK, Over: true, SpentS: 0.1})
 	}
-	g.Request(150, Request{ID: "late", Class: "read", Plan: "basic", Customer: "x", DeadlineS: 150.8, Entries: 1, Units: 1})
-	if len(r.of("send", "late")) != 0 || len(r.of("refuse", "late")) != 1 {
-		t.Fatal("a try past its aim was sent on")
+	gw.Request(150, Request{ID: "late", Class: "read", Plan: "basic", Customer: "x", DeadlineS: 150.8, Entries: 1, Units: 1})
+	if len(rec.of("send", "late")) != 0 || len(rec.of("refuse", "late")) != 1 {
+		t.Fatal("a retry that is past its target was sent")
 	}
-	g.Request(150, Request{ID: "soon", Class: "read", Plan: "basic", Customer: "x", DeadlineS: 151.7, Entries: 1, Units: 1})
-	if len(r.of("send", "soon")) != 1 {
-		t.Fatal("a try that can still make its aim was refused")
+	gw.Request(150, Request{ID: "soon", Class: "read", Plan: "basic", Customer: "x", DeadlineS: 151.7, Entries: 1, Units: 1})
+	if len(rec.of("send", "soon")) != 1 {
+		t.Fatal("a retry that can still meet its target was refused")
 	}
 }
 
-func TestOddInputIsIgnored(t *testing.T) {
-	g, r := gateway(t, nil)
-	n := len(r.acts)
+func TestInvalidInputIsIgnored(t *testing.T) {
+	gw, rec := gateway(t, nil)
+	n := len(rec.acts)
 	good := appendRecord(appendHeader(nil, 1, 1), record{Key: 5, Plan: 15})
 	for i := range good {
-		g.Peer(100, 1, good[:i])
+		gw.Peer(100, 1, good[:i])
 	}
-	g.Peer(100, 9, good)
-	g.Peer(100, -1, good)
-	g.Peer(100, 1, append([]byte{msgVersion + 1}, good[1:]...))
+	gw.Peer(100, 9, good)
+	gw.Peer(100, -1, good)
+	gw.Peer(100, 1, append([]byte{msgVersion + 1}, good[1:]...))
 	good[msgCount] = 1
-	g.Peer(100, 1, good)
-	g.Peer(100, 1, append(good, 1, 2, 3))
-	g.Peer(100, 1, make([]byte, 4000))
-	g.Outcome(100, Outcome{ID: "none", Server: "s1"})
-	g.Gone(100, "none")
-	g.Started(100, "none", 0)
-	g.Probed(100, ProbeResult{Server: "none"})
-	g.Timer(100, 77)
-	if len(r.acts) != n {
-		t.Fatalf("acted on odd input: %v", r.acts[n:])
+	gw.Peer(100, 1, good)
+	gw.Peer(100, 1, append(good, 1, 2, 3))
+	gw.Peer(100, 1, make([]byte, 4000))
+	gw.Outcome(100, Outcome{ID: "none", Server: "s1"})
+	gw.Gone(100, "none")
+	gw.Started(100, "none", 0)
+	gw.Probed(100, ProbeResult{Server: "none"})
+	gw.Timer(100, 77)
+	if len(rec.acts) != n {
+		t.Fatalf("acted on invalid input: %v", rec.acts[n:])
 	}
 }
 
@@ -748,246 +755,251 @@
 func TestSameEventsGiveTheSameActions(t *testing.T) {
 	var logs [2]string
 	for k := range logs {
-		g, r := gateway(t, nil)
+		gw, rec := gateway(t, nil)
 		for i := range 300 {
 			now := 100 + float64(i)*0.01
 			id := fmt.Sprint("q", i)
-			g.Request(now, Request{ID: id, Class: "read", Plan: "wide", Customer: fmt.Sprint("c", i%37), DeadlineS: now + 2,
+			gw.Request(now, Request{ID: id, Class: "read", Plan: "wide", Customer: fmt.Sprint("c", i%37), DeadlineS: now + 2,
 				Entries: 2, Units: 1})
-			for n, a := range r.of("send", id) {
-				g.Outcome(now, Outcome{ID: id, Server: a.server, Attempt: n, Status: Status(i % 4), SpentS: 0.05})
+			for n, a := range rec.of("send", id) {
+				gw.Outcome(now, Outcome{ID: id, Server: a.server, Attempt: n, Status: Status(i % 4), SpentS: 0.05})
 			}
-			g.Timer(now, 1)
+			gw.Timer(now, 1)
 		}
-		logs[k] = fmt.Sprint(r.acts)
+		logs[k] = fmt.Sprint(rec.acts)
 	}
 	if logs[0] != logs[1] {
-		t.Fatal("the same events gave other actions")
+		t.Fatal("the same events gave different actions")
 	}
 }
 
-// Guards round 21: with all messages lost, every gateway granted the whole quota.
-func TestCutOffGatewayPassesItsPartAlone(t *testing.T) {
-	g, r, ask := asMember(t, fleet(4))
+// A gateway that is partitioned from its peers may admit only its own part of the quota. Otherwise, with all
+// messages lost, every gateway grants the whole quota.
+func TestPartitionedGatewayAdmitsOnlyItsPart(t *testing.T) {
+	gw, rec, ask := asMember(t, fleet(4))
 	seen := 0
 	for i := range 2500 {
 		now := 100 + float64(i)*0.02
 		if i%3 == 0 {
 			ask(now, fmt.Sprint("q", i), 1)
 		}
-		g.Timer(now, 1)
-		served(g, r, &seen, now)
+		gw.Timer(now, 1)
+		served(gw, rec, &seen, now)
 	}
-	// 50 s of 2 units a second shared by 4, and a burst of 8.
-	if n := len(r.of("send", "")); n < 20 || n > 50 {
-		t.Fatalf("%d units sent on while cut off, a fourth of the quota is 33, the whole 108", n)
+	// 50 s at a quarter of 2 units per second, and a burst of 8.
+	if n := len(rec.of("send", "")); n < 20 || n > 50 {
+		t.Fatalf("%d units sent while partitioned, its part of the quota is 33, the whole 108", n)
 	}
 }
 
-// Guards round 22: a customer over its rate spent its quota on cheap requests, whichever came first.
-func TestCheapWorkLeavesRoomToDearWorkWhileOverRate(t *testing.T) {
-	g, r := gateway(t, alone)
+// While a customer exceeds its rate, low-value requests must leave units to high-value ones. First come,
+// first served spends the quota on low-value requests.
+func TestLowValueWorkLeavesUnitsToHighValueWork(t *testing.T) {
+	gw, rec := gateway(t, alone)
 	for i := range 12 {
-		ask(g, 100, fmt.Sprint("cheap", i), "read", "basic", 1)
+		ask(gw, 100, fmt.Sprint("cheap", i), "read", "basic", 1)
 	}
-	if n := len(r.of("send", "")); n == 0 || n >= 8 {
-		t.Fatalf("%d cheap requests took a burst of 8, want some room left", n)
+	if n := len(rec.of("send", "")); n == 0 || n >= 8 {
+		t.Fatalf("%d low-value requests sent, want some and fewer than the burst of 8", n)
 	}
-	ask(g, 100, "dear", "pay", "basic", 2)
-	if len(r.of("send", "dear")) != 1 {
-		t.Fatal("no room was left to the dear request")
+	ask(gw, 100, "dear", "pay", "basic", 2)
+	if len(rec.of("send", "dear")) != 1 {
+		t.Fatal("no units were left to the high-value request")
 	}
 }
 
-// A young count believes the room that a member hands back, even where its window has just turned.
-func TestYoungCountTakesTheRoomHandedBack(t *testing.T) {
-	g, _ := gateway(t, nil)
+// A new ledger adopts the remaining units that a member reports, even when they are far below its own count.
+func TestNewLedgerAdoptsReportedUnits(t *testing.T) {
+	gw, _ := gateway(t, nil)
 	b := appendRecord(appendHeader(nil, 1, 1), record{Key: 5, Known: true, Total: 0, Room: 1})
 	b[msgCount] = 1
-	g.Peer(104, 1, b)
-	if room := g.ledger(g.custs[5]).room; room > 1 {
-		t.Fatalf("room is %v after a member handed back 1", room)
+	gw.Peer(104, 1, b)
+	if remaining := gw.ledger(gw.custs[5]).room; remaining > 1 {
+		t.Fatalf("%v units remain after a member reported 1", remaining)
 	}
 }
 
-// A request for units alone is decided by the same count as work, takes from the same quota, keeps what
-// it took and never reaches a server.
-func TestLimitTakesFromTheQuotaOfWork(t *testing.T) {
-	g, r := gateway(t, func(s *Settings) { s.Gateways, s.Peers = 1, false })
+// A request for units only is charged to the same quota as other requests, keeps its units and is never sent
+// to a server.
+func TestQuotaOnlyRequestSharesTheQuota(t *testing.T) {
+	gw, rec := gateway(t, func(s *Settings) { s.Gateways, s.Peers = 1, false })
 	for i := range 3 {
-		g.Request(100, Request{ID: fmt.Sprint("l", i), Class: "pay", Plan: "basic", Customer: "ada", DeadlineS: 102,
+		gw.Request(100, Request{ID: fmt.Sprint("l", i), Class: "pay", Plan: "basic", Customer: "ada", DeadlineS: 102,
 			Units: 3, Limit: true})
 	}
-	if len(r.of("admit", "")) != 2 || len(r.of("refuse", "l2")) != 1 || len(r.of("send", "")) != 0 {
-		t.Fatalf("two of three should be admitted, none sent: %+v", r.acts)
+	if len(rec.of("admit", "")) != 2 || len(rec.of("refuse", "l2")) != 1 || len(rec.of("send", "")) != 0 {
+		t.Fatalf("want two of three requests admitted and none sent: %+v", rec.acts)
 	}
-	if room, ok := g.Room(100, "ada"); !ok || room != 2 {
-		t.Fatalf("room %v %v, want 2: what was admitted stays taken", room, ok)
+	if remaining, ok := gw.Room(100, "ada"); !ok || remaining != 2 {
+		t.Fatalf("%v units remain (known: %v), want 2 as admitted units stay charged", remaining, ok)
 	}
-	g.Request(100, Request{ID: "w", Class: "pay", Plan: "basic", Customer: "ada", DeadlineS: 102, Units: 2})
-	g.Request(100, Request{ID: "l3", Class: "pay", Plan: "basic", Customer: "ada", DeadlineS: 102, Units: 1, Limit: true})
-	if len(r.of("send", "w")) != 1 || len(r.of("refuse", "l3")) != 1 {
-		t.Fatalf("work and limits should share a quota: %+v", r.acts)
+	gw.Request(100, Request{ID: "w", Class: "pay", Plan: "basic", Customer: "ada", DeadlineS: 102, Units: 2})
+	gw.Request(100, Request{ID: "l3", Class: "pay", Plan: "basic", Customer: "ada", DeadlineS: 102, Units: 1, Limit: true})
+	if len(rec.of("send", "w")) != 1 || len(rec.of("refuse", "l3")) != 1 {
+		t.Fatalf("requests with and without QuotaOnly should share a quota: %+v", rec.acts)
 	}
-	if _, ok := g.Room(100, "eve"); ok {
-		t.Fatal("room of a customer never seen")
+	if _, ok := gw.Room(100, "eve"); ok {
+		t.Fatal("remaining units of an unknown customer")
 	}
 }
 
-// A member that can't judge a request for units asks the owner as for work, and falls back when it is silent.
-func TestLimitWaitsForTheOwner(t *testing.T) {
-	g, r := gateway(t, nil)
+// A member that cannot decide on a request for units only asks the owner, as for any other request, and falls
+// back to its local window when the owner is silent.
+func TestQuotaOnlyRequestWaitsForTheOwner(t *testing.T) {
+	gw, rec := gateway(t, nil)
 	name := ""
 	for i := 0; name == ""; i++ {
-		if c := g.customer(Request{Customer: fmt.Sprint("c", i), Plan: "basic", Entries: 2}); c.prime == 1 {
+		if c := gw.customer(Request{Customer: fmt.Sprint("c", i), Plan: "basic", Entries: 2}); c.prime == 1 {
 			name = fmt.Sprint("c", i)
 		}
 	}
-	g.Request(100, Request{ID: "l", Class: "read", Plan: "basic", Customer: name, DeadlineS: 102, Entries: 2, Units: 5, Limit: true})
-	if len(r.of("tell", "")) != 1 || len(r.of("admit", "l")) != 0 {
-		t.Fatalf("the owner should be asked first: %+v", r.acts)
+	gw.Request(100, Request{ID: "l", Class: "read", Plan: "basic", Customer: name, DeadlineS: 102, Entries: 2, Units: 5, Limit: true})
+	if len(rec.of("tell", "")) != 1 || len(rec.of("admit", "l")) != 0 {
+		t.Fatalf("want the owner asked first: %+v", rec.acts)
 	}
 	for x := 100.0; x < 101; x += 0.02 {
-		g.Timer(x, 1)
+		gw.Timer(x, 1)
 	}
-	if len(r.of("admit", "l"))+len(r.of("refuse", "l")) != 1 {
-		t.Fatalf("one answer after the owner's silence: %+v", r.acts)
+	if len(rec.of("admit", "l"))+len(rec.of("refuse", "l")) != 1 {
+		t.Fatalf("want one answer although the owner is silent: %+v", rec.acts)
 	}
 }
 
-// A keyed request with a home goes nowhere else, whatever is free there.
-func TestHomeIsKept(t *testing.T) {
-	g, r := gateway(t, nil)
+// A keyed request with a home server is sent to that server's group only, whatever capacity others have.
+func TestHomeServerIsKept(t *testing.T) {
+	gw, rec := gateway(t, nil)
 	for i := range 20 {
-		g.Request(100, Request{ID: fmt.Sprint("k", i), Class: "put", Plan: "wide", Customer: "ada", DeadlineS: 104,
+		gw.Request(100, Request{ID: fmt.Sprint("k", i), Class: "put", Plan: "wide", Customer: "ada", DeadlineS: 104,
 			Units: 1, Entries: 1, Home: "s3"})
 	}
-	if len(r.of("send", "")) == 0 {
+	if len(rec.of("send", "")) == 0 {
 		t.Fatal("nothing was sent")
 	}
-	for _, a := range r.of("send", "") {
+	for _, a := range rec.of("send", "") {
 		if a.server != "s3" {
 			t.Fatalf("sent to %s, outside the home zone", a.server)
 		}
 	}
 }
 
-// A request whose key may have run before is kept to that group and its memory, and never refused as harmless.
+// A request whose key may have run before is sent only to the group that remembers the key and only while it
+// does. It is never refused as safe to retry.
 func TestEarlierRunOfAKey(t *testing.T) {
-	g, r := gateway(t, nil)
+	gw, rec := gateway(t, nil)
 	put := func(id string, ranAt float64) {
-		g.Request(g.now, Request{ID: id, Class: "put", Plan: "wide", Customer: "ada", DeadlineS: g.now + 4, Units: 1, Entries: 1,
+		gw.Request(gw.now, Request{ID: id, Class: "put", Plan: "wide", Customer: "ada", DeadlineS: gw.now + 4, Units: 1, Entries: 1,
 			Ran: "s3", RanAt: ranAt})
 	}
 	put("soon", 99.5)
-	if a := r.of("send", "soon"); len(a) != 1 || a[0].server != "s3" {
-		t.Fatalf("want one send to the zone of s3: %+v", r.acts)
+	if a := rec.of("send", "soon"); len(a) != 1 || a[0].server != "s3" {
+		t.Fatalf("want one send to the zone of s3: %+v", rec.acts)
 	}
-	put("late", 97.9) // the group has forgotten it
-	if len(r.of("send", "late")) != 0 || len(r.of("fail", "late")) != 1 {
-		t.Fatalf("want late failed unsent: %+v", r.acts)
+	put("late", 97.9) // the group does not remember the key any more
+	if len(rec.of("send", "late")) != 0 || len(rec.of("fail", "late")) != 1 {
+		t.Fatalf("want late failed unsent: %+v", rec.acts)
 	}
-	g.Servers(100, []Server{{ID: "s3", Zone: "b", Cell: 3, State: Draining}}, false)
+	gw.Servers(100, []Server{{ID: "s3", Zone: "b", Cell: 3, State: Draining}}, false)
 	put("gone", 99.5)
 	for x := 100.0; x < 104.1; x += 0.02 {
-		g.Timer(x, 1)
+		gw.Timer(x, 1)
 	}
-	if len(r.of("send", "gone")) != 0 || len(r.of("refuse", "gone")) != 0 || len(r.of("fail", "gone")) != 1 {
-		t.Fatalf("want gone failed, not refused: %+v", r.acts)
+	if len(rec.of("send", "gone")) != 0 || len(rec.of("refuse", "gone")) != 0 || len(rec.of("fail", "gone")) != 1 {
+		t.Fatalf("want gone failed, not refused: %+v", rec.acts)
 	}
 }
 
-// Units handed back can be taken again, by the owner's count and by a member's.
-func TestReturn(t *testing.T) {
-	g, r := gateway(t, func(s *Settings) { s.Gateways, s.Peers = 1, false })
+// Returned units can be used again.
+func TestReturnUnits(t *testing.T) {
+	gw, rec := gateway(t, func(s *Settings) { s.Gateways, s.Peers = 1, false })
 	ask := func(id string) {
-		g.Request(100, Request{ID: id, Class: "pay", Plan: "basic", Customer: "ada", DeadlineS: 102, Units: 8, Limit: true})
+		gw.Request(100, Request{ID: id, Class: "pay", Plan: "basic", Customer: "ada", DeadlineS: 102, Units: 8, Limit: true})
 	}
 	ask("a")
 	ask("b")
-	g.Return(100, "ada", 8)
-	g.Return(100, "eve", 8)
+	gw.Return(100, "ada", 8)
+	gw.Return(100, "eve", 8)
 	ask("c")
-	if len(r.of("admit", "a")) != 1 || len(r.of("refuse", "b")) != 1 || len(r.of("admit", "c")) != 1 {
-		t.Fatalf("%+v", r.acts)
+	if len(rec.of("admit", "a")) != 1 || len(rec.of("refuse", "b")) != 1 || len(rec.of("admit", "c")) != 1 {
+		t.Fatalf("%+v", rec.acts)
 	}
-	if room, _ := g.Room(100, "ada"); room != 0 {
-		t.Fatalf("room %v, want 0", room)
+	if remaining, _ := gw.Room(100, "ada"); remaining != 0 {
+		t.Fatalf("%v units remain, want 0", remaining)
 	}
 }
 
-// A sudden burst at a member passes no more than its split before the owner has spoken, and the owner is
-// told at once rather than with the next batch. Both gateways used to pass nearly the whole room each.
-func TestBurstKeepsToItsSplit(t *testing.T) {
-	g, r := gateway(t, nil)
+// In a sudden burst a member admits no more than its split until the owner has replied, and reports at once
+// rather than with the next batch. Both gateways used to admit nearly all remaining units each.
+func TestBurstIsLimitedToTheSplit(t *testing.T) {
+	gw, rec := gateway(t, nil)
 	name := ""
 	for i := 0; name == ""; i++ {
-		if c := g.customer(Request{Customer: fmt.Sprint("c", i), Plan: "basic", Entries: 2}); c.prime == 1 {
+		if c := gw.customer(Request{Customer: fmt.Sprint("c", i), Plan: "basic", Entries: 2}); c.prime == 1 {
 			name = fmt.Sprint("c", i)
 		}
 	}
 	for i := range 8 {
-		g.Request(100, Request{ID: fmt.Sprint("b", i), Class: "pay", Plan: "basic", Customer: name, DeadlineS: 104, Entries: 2,
+		gw.Request(100, Request{ID: fmt.Sprint("b", i), Class: "pay", Plan: "basic", Customer: name, DeadlineS: 104, Entries: 2,
 			Units: 1, Limit: true})
 	}
-	if n := len(r.of("admit", "")); n != 4 {
-		t.Errorf("%d of a burst of 8 passed unheard, want this gateway's split of 4", n)
+	if n := len(rec.of("admit", "")); n != 4 {
+		t.Errorf("%d of a burst of 8 admitted without a reply, want this gateway's split of 4", n)
 	}
-	if n := len(r.of("tell", "")); n != 2 {
-		t.Errorf("%d messages, want the burst at half of the split, and the question", n)
+	if n := len(rec.of("tell", "")); n != 2 {
+		t.Errorf("%d messages, want 2: the report at half of the split, and the request to the owner", n)
 	}
 }
 
-// Guards the wire's stalls: the window of a customer opened while its owner stood still and others counted it.
-func TestWindowStaysShutWhileItsOwnerStoodStill(t *testing.T) {
+// No units may accrue for the time in which the owner was paused, as other gateways may have admitted them
+// meanwhile.
+func TestNoUnitsAccrueWhileTheOwnerIsPaused(t *testing.T) {
 	const n = 4
 	s := testSettings()
 	s.Gateways = n
-	for _, stood := range []float64{0, 0.31, 2, 4, 20} {
-		r := &recorder{}
-		g, _ := New(s, 7, 100, r)
-		g.Servers(100, []Server{{ID: "s1"}, {ID: "s2"}}, true)
-		who := ""
-		for i := 0; who == ""; i++ { // a customer that this gateway owns
-			c := g.customer(Request{Customer: fmt.Sprint("c", i), Plan: "basic", Entries: n})
-			if c.prime == g.s.Me {
-				who = fmt.Sprint("c", i)
+	for _, pauseS := range []float64{0, 0.31, 2, 4, 20} {
+		rec := &recorder{}
+		gw, _ := New(s, 7, 100, rec)
+		gw.Servers(100, []Server{{ID: "s1"}, {ID: "s2"}}, true)
+		customerID := ""
+		for i := 0; customerID == ""; i++ { // a customer that this gateway owns
+			c := gw.customer(Request{Customer: fmt.Sprint("c", i), Plan: "basic", Entries: n})
+			if c.prime == gw.s.Me {
+				customerID = fmt.Sprint("c", i)
 			}
 		}
 		ask := func(now float64) (passed int) {
-			before := len(r.of("admit", ""))
+			before := len(rec.of("admit", ""))
 			for i := range 20 {
-				g.Request(now, Request{ID: fmt.Sprint("q", now, i), Class: "read", Plan: "basic", Customer: who, DeadlineS: now + 10,
+				gw.Request(now, Request{ID: fmt.Sprint("q", now, i), Class: "read", Plan: "basic", Customer: customerID, DeadlineS: now + 10,
 					Entries: n, Units: 1, Limit: true})
 			}
-			return len(r.of("admit", "")) - before
+			return len(rec.of("admit", "")) - before
 		}
 		now := 100.02
-		if got := ask(now); got < 5 { // a burst of 8, less what cheap work leaves to dearer work
-			t.Fatalf("%d passed of a burst of 8", got)
+		if got := ask(now); got < 5 { // a burst of 8, less what low-value work leaves to high-value work
+			t.Fatalf("%d admitted of a burst of 8", got)
 		}
-		now += stood
-		g.Timer(now, 1)
+		now += pauseS
+		gw.Timer(now, 1)
 		second := ask(now)
-		if got := second; got > 2 { // what cheap work left, now that less is asked
-			t.Errorf("after a stall of %v s it passed %d that others may have passed meanwhile", stood, got)
+		if got := second; got > 2 { // the units that low-value work left, now that there is less demand
+			t.Errorf("after a pause of %v s it admitted %d that others may have admitted meanwhile", pauseS, got)
 		}
-		for end := now + 2; now < end; now += tickS { // and goes on as usual: 2 units a second
-			g.Timer(now, 1)
+		for end := now + 2; now < end; now += tickS { // afterwards 2 units per second accrue as usual
+			gw.Timer(now, 1)
 		}
 		if got := second + ask(now); got < 3 || got > 6 {
-			t.Errorf("within 2 s after a stall of %v s it passed %d, want 4 or so", stood, got)
+			t.Errorf("within 2 s after a pause of %v s it admitted %d, want about 4", pauseS, got)
 		}
 	}
 }
 
-// A list whose addresses change for ever grows no memory, and a server that left stays known while a key that ran
-// there may be remembered, or an attempt is out.
-func TestAddressesThatChangeForEver(t *testing.T) {
-	g, r := gateway(t, alone)
-	g.Servers(100, []Server{{ID: "old", Zone: "z"}}, true)
-	ask(g, 100, "q", "read", "wide", 1)
-	if len(r.of("send", "q")) != 1 {
+// Memory stays bounded when the addresses of the list keep changing. A server that left the list stays known
+// while it may remember a key, or an attempt is in flight there.
+func TestServersThatLeftTheListAreForgotten(t *testing.T) {
+	gw, rec := gateway(t, alone)
+	gw.Servers(100, []Server{{ID: "old", Zone: "z"}}, true)
+	ask(gw, 100, "q", "read", "wide", 1)
+	if len(rec.of("send", "q")) != 1 {
 		t.Fatal("not sent")
 	}
 	now := 100.0
@@ -997,63 +1009,64 @@
 		for k := range 100 {
 			list = append(list, Server{ID: fmt.Sprint("s", i, "-", k), Zone: "a"})
 		}
-		g.Servers(now, list, true)
-		g.Timer(now, 1)
+		gw.Servers(now, list, true)
+		gw.Timer(now, 1)
 	}
-	if most := 100 * int(forgetS+forgetS/4+3); len(g.servers) > most || len(g.byHash) > most {
-		t.Errorf("%d servers and %d hashes kept, want %d at most", len(g.servers), len(g.byHash), most)
+	if limit := 100 * int(forgetS+forgetS/4+3); len(gw.servers) > limit || len(gw.byHash) > limit {
+		t.Errorf("%d servers and %d hashes kept, want at most %d", len(gw.servers), len(gw.byHash), limit)
 	}
-	if g.servers["old"] == nil {
-		t.Error("a server with an attempt out was forgotten")
+	if gw.servers["old"] == nil {
+		t.Error("a server with an attempt in flight was forgotten")
 	}
-	g.Outcome(now, Outcome{ID: "q", Server: "old", Status: Timeout, Over: true})
+	gw.Outcome(now, Outcome{ID: "q", Server: "old", Status: Timeout, Over: true})
 	for end := now + forgetS; now < end; now++ {
-		g.Timer(now, 1)
+		gw.Timer(now, 1)
 	}
-	if g.servers["old"] != nil {
-		t.Error("a server that left is never forgotten")
+	if gw.servers["old"] != nil {
+		t.Error("a server that left the list is never forgotten")
 	}
 }
 
-// Connections break under requests for reasons of their own. Guards a day on sockets on which each such break took a
-// healthy server out of use for up to a second, and most of what was refused was refused for want of a server.
-func TestOneBrokenConnectionIsNoSickServer(t *testing.T) {
-	g, r := gateway(t, alone)
-	g.Servers(100, []Server{{ID: "s1", Zone: "a"}}, true)
+// One broken connection does not mean that the server is unhealthy. Over real sockets, each broken connection
+// used to take a healthy server out of use for up to a second, and most refusals were for lack of a server.
+func TestOneBrokenConnectionDoesNotImplicateTheServer(t *testing.T) {
+	gw, rec := gateway(t, alone)
+	gw.Servers(100, []Server{{ID: "s1", Zone: "a"}}, true)
 	step := func(now float64, id string, s Status) (sent bool) {
-		ask(g, now, id, "pay", "wide", 1)
-		if sent = len(r.of("send", id)) == 1; sent {
-			g.Outcome(now+0.1, Outcome{ID: id, Server: "s1", Status: s, SpentS: 0.1})
+		ask(gw, now, id, "pay", "wide", 1)
+		if sent = len(rec.of("send", id)) == 1; sent {
+			gw.Outcome(now+0.1, Outcome{ID: id, Server: "s1", Status: s, SpentS: 0.1})
 		}
 		return sent
 	}
 	step(100, "a", Reset)
 	if !step(100.2, "b", OK) {
-		t.Fatal("shunned for one broken connection")
+		t.Fatal("server avoided after one broken connection")
 	}
 	step(100.4, "c", Reset)
 	if !step(100.6, "d", Reset) {
-		t.Fatal("shunned for one broken connection after an answer")
+		t.Fatal("server avoided after one broken connection that followed an answer")
 	}
 	if step(100.8, "e", OK) {
-		t.Fatal("in use after two in a row without an answer")
+		t.Fatal("server in use after two broken connections without an answer in between")
 	}
 	for id := 0; ; id++ {
 		now := 102 + float64(id)
 		if step(now, fmt.Sprint("f", id), ConnectFailed) {
 			if step(now+0.2, "g", OK) {
-				t.Fatal("in use after a refused connection")
+				t.Fatal("server in use after a refused connection")
 			}
 			break
 		}
 		if id > 5 {
-			t.Fatal("never used again")
+			t.Fatal("server never used again")
 		}
 	}
 }
 
-// The pool of a ceiling is what one gateway alone needs beyond its split to serve the whole quota, and no more.
-func TestPoolPart(t *testing.T) {
+// The reserve of a ceiling is what one gateway alone needs beyond its split to serve the whole quota, and no
+// more.
+func TestReserveShare(t *testing.T) {
 	p := Plan{Rate: 10, Burst: 20, CeilingRate: 20, CeilingBurst: 40}
 	for _, c := range []struct {
 		plan     Plan
@@ -1061,9 +1074,9 @@
 		want     float64
 	}{
 		{p, 1, 0.5}, {p, 2, 0}, {p, 3, 0.25}, {p, 4, 1.0 / 3}, {p, 1000, 0.4995},
-		{Plan{Rate: 19, Burst: 20, CeilingRate: 20, CeilingBurst: 40}, 3, 0.5}, // a ceiling as low as the rate
-		{Plan{Rate: 1, Burst: 1, CeilingRate: 20, CeilingBurst: 40}, 3, 0},     // and far above it
-		{Plan{Rate: 1, Burst: 1}, 3, 0.5},                                      // and none
+		{Plan{Rate: 19, Burst: 20, CeilingRate: 20, CeilingBurst: 40}, 3, 0.5}, // the ceiling is about the rate
+		{Plan{Rate: 1, Burst: 1, CeilingRate: 20, CeilingBurst: 40}, 3, 0},     // far above it
+		{Plan{Rate: 1, Burst: 1}, 3, 0.5},                                      // no ceiling
 	} {
 		if got := poolPart(c.plan, c.gateways); got < c.want-1e-3 || got > c.want+1e-3 {
 			t.Errorf("%+v, %d gateways: %v, want %v", c.plan, c.gateways, got, c.want)
@@ -1071,131 +1084,133 @@
 	}
 }
 
-// Guards a rolling restart on sockets, in which a third of a busy customer's tries were refused with most of its quota
-// unused: its owner was away, and the gateway that stood in for it passed its own third of quota and ceiling.
+// While an owner restarts, its stand-in must serve the whole quota. In a rolling restart over real sockets a
+// stand-in admitted only its own third of quota and ceiling: a third of a busy customer's attempts were
+// refused with most of its quota unused.
 func TestStandInServesWhileTheOwnerIsAway(t *testing.T) {
 	for _, c := range []struct {
-		plan        string
-		others      bool // the third gateway is heard
-		least, most int  // of a quota of 48 units in 20 s without a ceiling, and one of 220 with one
+		plan     string
+		others   bool // the third gateway is heard from
+		min, max int  // units sent of a quota of 48 in 20 s without a ceiling, and of 220 with one
 	}{{"basic", true, 40, 56}, {"basic", false, 10, 30}, {"capped", true, 90, 120}, {"capped", false, 60, 120}} {
-		var g *Gateway
-		var r *recorder
+		var gw *Gateway
+		var rec *recorder
 		customer := ""
-		for k := 0; ; k++ { // one whose owner is 1, and its stand-in 0
+		for k := 0; ; k++ { // a customer whose owner is gateway 1 and whose stand-in is gateway 0
 			s := testSettings()
 			s.Gateways = 3
-			r = &recorder{}
-			g, _ = New(s, 7, 100, r)
-			g.Servers(100, []Server{{ID: "s1", Zone: "a"}, {ID: "s2", Zone: "a"}}, true)
+			rec = &recorder{}
+			gw, _ = New(s, 7, 100, rec)
+			gw.Servers(100, []Server{{ID: "s1", Zone: "a"}, {ID: "s2", Zone: "a"}}, true)
 			customer = fmt.Sprint("c", k)
-			x := g.customer(Request{Customer: customer, Plan: c.plan, Entries: 3})
-			g.peers[1].missed, g.peers[1].missAt = missMost, g.now
-			away := g.walk(x, true)
-			g.peers[1].missed = 0
+			x := gw.customer(Request{Customer: customer, Plan: c.plan, Entries: 3})
+			gw.peers[1].missed, gw.peers[1].missAt = missMost, gw.now
+			away := gw.walk(x, true)
+			gw.peers[1].missed = 0
 			if x.prime == 1 && away == 0 {
 				break
 			}
 		}
 		seen, seq := 0, uint16(0)
-		for i := range 1000 { // 20 s at 25 units a second
+		for i := range 1000 { // 20 s at 25 units per second
 			now := 100 + float64(i)*0.02
 			if c.others && i%25 == 0 {
 				seq++
 				b := appendRecord(appendHeader(nil, 1, seq), record{Key: 9, Plan: 0, Total: 1})
 				b[msgCount] = 1
-				g.Peer(now, 2, b)
+				gw.Peer(now, 2, b)
 			}
 			if i%2 == 0 {
-				g.Request(now, Request{ID: fmt.Sprint("q", i), Class: "read", Plan: c.plan, Customer: customer, DeadlineS: now + 2, Entries: 3, Units: 1})
+				gw.Request(now, Request{ID: fmt.Sprint("q", i), Class: "read", Plan: c.plan, Customer: customer, DeadlineS: now + 2, Entries: 3, Units: 1})
 			}
-			g.Timer(now, 1)
-			served(g, r, &seen, now)
+			gw.Timer(now, 1)
+			served(gw, rec, &seen, now)
 		}
-		if n := len(r.of("send", "")); n < c.least || n > c.most {
-			t.Errorf("%s, the third heard %v: %d units sent on in 20 s, want %d to %d", c.plan, c.others, n, c.least, c.most)
+		if n := len(rec.of("send", "")); n < c.min || n > c.max {
+			t.Errorf("%s, third gateway heard from: %v: %d units sent in 20 s, want %d to %d", c.plan, c.others, n, c.min, c.max)
 		}
 	}
 }
 
-// A server that is given up soon is hardly in doubt, one that was silent for many mean latencies is. Guards a day on which
-// requests came late to their attempts, gave them a fraction of a second, and called all servers sick in turn: what was left
-// of them was overrun.
-func TestTimeoutTellsBySilence(t *testing.T) {
-	sick := func(spent float64) float64 {
-		g, r := gateway(t, alone)
-		g.classes["read"].lat = 0.1
-		ask(g, 100, "q", "read", "wide", 1)
-		s := r.of("send", "q")[0].server
-		g.Outcome(100+spent, Outcome{ID: "q", Server: s, Status: Timeout, SpentS: spent})
-		return g.sickness(g.servers[s], g.classes["read"])
-	}
-	if short, long := sick(0.15), sick(0.6); short > 0.1 || long < 0.4 {
-		t.Errorf("given up after 1.5 mean latencies: sick %.2f, after 6: %.2f, want next to nothing and half", short, long)
+// A timeout after a short wait hardly raises the suspicion of a server; one after many mean latencies does.
+// Requests that had waited long used to give their attempts a fraction of a second, and made all servers
+// suspected in turn; the remaining ones were overloaded.
+func TestTimeoutCountsByWaitingTime(t *testing.T) {
+	suspicionAfter := func(spent float64) float64 {
+		gw, rec := gateway(t, alone)
+		gw.classes["read"].lat = 0.1
+		ask(gw, 100, "q", "read", "wide", 1)
+		s := rec.of("send", "q")[0].server
+		gw.Outcome(100+spent, Outcome{ID: "q", Server: s, Status: Timeout, SpentS: spent})
+		return gw.sickness(gw.servers[s], gw.classes["read"])
+	}
+	if short, long := suspicionAfter(0.15), suspicionAfter(0.6); short > 0.1 || long < 0.4 {
+		t.Errorf("suspicion %.2f after 1.5 mean latencies, %.2f after 6, want at most 0.1 and about half", short, long)
 	}
 }
 
-// Work that takes a large part of its aim without queueing anywhere does not shrink the limit; the same time on work that
-// is done in a third of it elsewhere does.
+// Requests that need a large part of their target without queueing do not shrink the limit. The same latency
+// for a class whose base latency is a third of it does.
 func TestLimitFollowsQueueing(t *testing.T) {
 	limit := func(first, then float64) float64 {
-		g, r := gateway(t, alone)
+		gw, rec := gateway(t, alone)
 		n := 0
 		one := func(spent float64) {
 			n++
 			id, now := fmt.Sprint("q", n), 100+float64(n)*0.02
-			ask(g, now, id, "read", "wide", 1)
-			g.Outcome(now+0.01, Outcome{ID: id, Server: r.of("send", id)[0].server, Status: OK, Over: true, SpentS: spent})
+			ask(gw, now, id, "read", "wide", 1)
+			gw.Outcome(now+0.01, Outcome{ID: id, Server: rec.of("send", id)[0].server, Status: OK, Over: true, SpentS: spent})
 		}
 		for range 30 {
 			one(first)
 		}
-		g.limit = 20 // above the least
+		gw.limit = 20 // above the lower bound
 		for range 100 {
 			one(then)
 		}
-		return g.limit / 20
+		return gw.limit / 20
 	}
 	if x := limit(0.3, 0.3); x < 1 {
-		t.Errorf("work of 0.3 of its aim: the limit goes to %.2f of what it was", x)
+		t.Errorf("requests that always take 0.3 of their target: the limit changes by a factor of %.2f", x)
 	}
 	if x := limit(0.1, 0.4); x >= 1 {
-		t.Errorf("work of 0.1 of its aim that takes 0.4 of it: the limit goes to %.2f of what it was", x)
+		t.Errorf("requests that go from 0.1 to 0.4 of their target: the limit changes by a factor of %.2f", x)
 	}
 }
 
-// A server that all hold for sick answers one gateway: the others hear of it. Guards a day on which servers that were only
-// full for a moment were shunned by a whole fleet for seconds, one after the other, and what was left of them was overrun.
-func TestAnswerOfASickServerIsToldOn(t *testing.T) {
-	a, ra, ask := asMember(t, fleet(100))
+// When a server that all gateways suspect answers one of them, the others are informed. Servers that were
+// overloaded for a moment used to be avoided by the whole fleet for seconds, one after the other, and the
+// remaining ones were overloaded.
+func TestAnswerOfASuspectedServerIsGossiped(t *testing.T) {
+	a, recA, ask := asMember(t, fleet(100))
 	b, _ := gateway(t, func(s *Settings) { s.Gateways, s.Me = 100, 1 })
-	for _, g := range []*Gateway{a, b} {
-		g.servers["s2"].sick[g.classes["read"].index] = sick{0.9, 99}
+	for _, gw := range []*Gateway{a, b} {
+		gw.servers["s2"].sick[gw.classes["read"].index] = sick{0.9, 99}
 	}
-	r := &request{cls: a.classes["read"]}
-	a.learn(r, &attempt{srv: a.servers["s2"], sentAt: 99.9}, Outcome{Status: OK, SpentS: 0.1})
+	answered := &request{cls: a.classes["read"]}
+	a.learn(answered, &attempt{srv: a.servers["s2"], sentAt: 99.9}, Outcome{Status: OK, SpentS: 0.1})
 	ask(100, "q", 2)
-	b.Peer(100.01, 0, ra.of("tell", "")[0].data)
-	for name, g := range map[string]*Gateway{"the one that was answered": a, "the other": b} {
-		if x := g.sickness(g.servers["s2"], g.classes["read"]); x > 0.01 {
-			t.Errorf("%s holds it for sick still: %.2f", name, x)
+	b.Peer(100.01, 0, recA.of("tell", "")[0].data)
+	for name, gw := range map[string]*Gateway{"the gateway that got the answer": a, "the other gateway": b} {
+		if x := gw.sickness(gw.servers["s2"], gw.classes["read"]); x > 0.01 {
+			t.Errorf("%s still suspects the server: %.2f", name, x)
 		}
 	}
 }
 
-// A server in small doubt is taken before one that is twice as busy; one that is surely sick is not.
-func TestSmallDoubtShunsNobody(t *testing.T) {
+// A slightly suspected server is preferred to one that is twice as busy; a strongly suspected one is not.
+func TestSlightSuspicionDoesNotExcludeAServer(t *testing.T) {
 	for _, c := range []struct {
-		sick float64
-		want string
+		level float64
+		want  string
 	}{{0.1, "s1"}, {0.9, "s2"}} {
-		g, r := gateway(t, alone)
-		g.Servers(100, []Server{{ID: "s3", State: Draining}}, false)
-		g.servers["s1"].sick[g.classes["read"].index] = sick{c.sick, 100}
-		g.servers["s2"].inflight, g.out, g.limit = 2, 2, 30
-		ask(g, 100, "q", "read", "wide", 1)
-		if got := r.of("send", "q"); len(got) != 1 || got[0].server != c.want {
-			t.Errorf("sick %v: sent %+v, want to %s", c.sick, got, c.want)
+		gw, rec := gateway(t, alone)
+		gw.Servers(100, []Server{{ID: "s3", State: Draining}}, false)
+		gw.servers["s1"].sick[gw.classes["read"].index] = sick{c.level, 100}
+		gw.servers["s2"].inflight, gw.out, gw.limit = 2, 2, 30
+		ask(gw, 100, "q", "read", "wide", 1)
+		if got := rec.of("send", "q"); len(got) != 1 || got[0].server != c.want {
+			t.Errorf("suspicion %v: sent %+v, want it sent to %s", c.level, got, c.want)
 		}
 	}
 }
