--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -145,7 +145,7 @@
 }
 
 // within is the timing of an attempt that may be begun, and answered, for so many seconds.
-func within(s float64) policy.Timing { return policy.Timing{StartS: s, AnswerS: s} }
+func within(s float64) policy.Timing { return policy.Timing{StartWithinS: s, AnswerWithinS: s} }
 
 func attempt(n int) core.Attempt { return core.Attempt{N: n} }
 
@@ -157,8 +157,8 @@
 	for i, c := range []struct {
 		reply  string
 		status policy.Status
-	}{{"+OK\r\n", policy.OK}, {"*2\r\n:1\r\n$1\r\nx\r\n", policy.OK}, {"-ERR no such job\r\n", policy.OK}, {"-BUSY full\r\n", policy.Full},
-		{"-LOADING\r\n", policy.Full}, {"-TRYAGAIN later\r\n", policy.Error}, {"-INTERNAL oops\r\n", policy.Error}} {
+	}{{"+OK\r\n", policy.OK}, {"*2\r\n:1\r\n$1\r\nx\r\n", policy.OK}, {"-ERR no such job\r\n", policy.OK}, {"-BUSY full\r\n", policy.Rejected},
+		{"-LOADING\r\n", policy.Rejected}, {"-TRYAGAIN later\r\n", policy.Error}, {"-INTERNAL oops\r\n", policy.Error}} {
 		p.Send(attempt(i), b.ln.Addr().String(), do(i), within(10))
 		k := b.next(t)
 		_, _ = k.c.Write([]byte(c.reply))
@@ -187,7 +187,7 @@
 		t.Fatalf("%d connections, want 2: %v", len(conns), conns)
 	}
 	p.Send(attempt(4), addr, do(4), within(10))
-	s.expect(t, 4, policy.Full, "")
+	s.expect(t, 4, policy.Rejected, "")
 	for c, list := range conns {
 		for _, n := range list {
 			_, _ = c.Write([]byte("+" + n + "\r\n"))
@@ -226,7 +226,7 @@
 	b.next(t)
 	p.Cancel(attempt(0), addr)
 	p.Send(attempt(2), addr, do(2), within(10)) // the only connection is held up by the one given up
-	s.expect(t, 2, policy.Full, "")
+	s.expect(t, 2, policy.Rejected, "")
 	_, _ = k.c.Write([]byte("+zero\r\n+one\r\n"))
 	s.expect(t, 1, policy.OK, "+one\r\n")
 	if p.Counts().Late != 1 {
@@ -357,7 +357,7 @@
 	p, s := setup(t, func(o *Options) { o.DialContext = d.dial }, addr)
 	p.Send(attempt(0), addr, do(0), within(10))
 	p.Withdraw(attempt(0), addr)
-	s.expect(t, 0, policy.Moot, "")
+	s.expect(t, 0, policy.NotSent, "")
 	p.Send(attempt(1), addr, do(1), within(10))
 	p.Cancel(attempt(1), addr)
 	close(d.let)
@@ -514,10 +514,10 @@
 	addr := b.ln.Addr().String()
 	d := &lateDial{make(chan struct{})}
 	p, s := setup(t, func(o *Options) { o.DialContext = d.dial }, addr)
-	p.Send(attempt(0), addr, do(0), policy.Timing{StartS: 0.05, AnswerS: 20})
+	p.Send(attempt(0), addr, do(0), policy.Timing{StartWithinS: 0.05, AnswerWithinS: 20})
 	time.Sleep(100 * time.Millisecond)
 	close(d.let)
-	s.expect(t, 0, policy.Moot, "")
+	s.expect(t, 0, policy.NotSent, "")
 	if len(b.got) != 0 {
 		t.Error("the box got what could not begin any more")
 	}
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -39,7 +39,7 @@
 func (b *box) dialFailed(probe bool, err error) {
 	status := policy.ConnectFailed
 	if syserr.Local(err) {
-		status = policy.Moot
+		status = policy.NotSent
 	}
 	if probe {
 		b.probed(status, nil)
--- a/internal/backend/probe.go
+++ b/internal/backend/probe.go
@@ -60,6 +60,6 @@
 	if pr.timer.Stop() {
 		b.pool.work.Done()
 	}
-	b.pool.core.Probed(policy.ProbeResult{Server: b.name, Status: status, SpentS: time.Since(pr.at).Seconds(), Load: load})
+	b.pool.core.Probed(policy.ProbeResult{Server: b.name, Status: status, ElapsedS: time.Since(pr.at).Seconds(), Load: load})
 	return true
 }
--- a/internal/backend/reply.go
+++ b/internal/backend/reply.go
@@ -76,12 +76,12 @@
 	}
 	switch string(word) {
 	case "BUSY", "LOADING", "OOM":
-		return policy.Full
+		return policy.Rejected
 	case "INTERNAL", "TRYAGAIN", "CLUSTERDOWN", "MASTERDOWN", "READONLY", "MOVED", "ASK", "NOREPLICAS", "UNKILLABLE":
 		return policy.Error
 	}
 	if bytes.HasPrefix(reply, []byte("-ERR max number of clients")) {
-		return policy.Full
+		return policy.Rejected
 	}
 	return policy.OK
 }
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -275,10 +275,10 @@
 }
 
 // Beliefs is what the module holds of each server now. It waits for the machine's turn, so it is for a trace alone.
-func (l *Loop) Beliefs() []policy.Belief {
+func (l *Loop) Beliefs() []policy.ServerEstimate {
 	l.turn.Lock()
 	defer l.turn.Unlock()
-	return l.machine.gate.Beliefs(l.clock.Now())
+	return l.machine.gate.ServerEstimates(l.clock.Now())
 }
 
 // Run drives the machine until ctx is over, then settles what is left. It returns once every call that was
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -143,7 +143,7 @@
 	Overdue                                        uint64 // answered by the last resort, past the deadline
 	Late                                           uint64 // results of attempts that had ended
 	Attempts, Timeouts, Probes, Told, Heard        uint64
-	RefusedFor                                     [policy.Refusals]uint64 // requests, by the module's reason
+	RefusedFor                                     [policy.RefusalCount]uint64 // requests, by the module's reason
 }
 
 // maxHeld bounds the requests under way, unless Bound sets fewer. One more is refused at once.
@@ -311,10 +311,10 @@
 		m.answer(c, Answer{Kind: Admitted})
 		return
 	}
-	q := policy.Request{Class: class.Name, Plan: c.Plan, Customer: c.Client, DeadlineS: m.now + within,
-		First: c.First, Entries: c.Entries, Units: c.Units, Retry: c.Retry, Limit: c.Limit}
+	q := policy.Request{Class: class.Name, Plan: c.Plan, Customer: c.Client, DeadlineAt: m.now + within,
+		FirstGateway: c.First, GatewayCount: c.Entries, Units: c.Units, ClientRetry: c.Retry, QuotaOnly: c.Limit}
 	if c.Entries <= 0 {
-		q.First, q.Entries = 0, m.settings.Gateways
+		q.FirstGateway, q.GatewayCount = 0, m.settings.Gateways
 	}
 	var entry *keys.Entry
 	if class.Effect == policy.Keyed && !c.Limit && c.Key != "" {
@@ -332,13 +332,13 @@
 			return
 		}
 		entry = r.Entry
-		q.Home, q.Ran, q.RanAt = r.Home, r.Ran, r.RanAt
+		q.HomeServer, q.EarlierServer, q.EarlierSentAt = r.Home, r.Ran, r.RanAt
 	}
 	i := m.newSlot()
 	s := &m.slots[i]
 	s.calls = append(s.calls[:0], c)
-	s.class, s.deadline, s.payload, s.entry = c.Class, q.DeadlineS, c.Payload, entry
-	s.ranFirst = q.Ran != ""
+	s.class, s.deadline, s.payload, s.entry = c.Class, q.DeadlineAt, c.Payload, entry
+	s.ranFirst = q.EarlierServer != ""
 	if entry != nil {
 		entry.Ref = uint64(i)
 	}
@@ -348,7 +348,7 @@
 	m.gate.Request(m.now, q)
 	if s := &m.slots[i]; s.gen == gen && s.used && !s.over {
 		// The last resort, in case no ruling comes: the module itself answers by the deadline.
-		m.at(q.DeadlineS+m.settings.AnswerSlackS, timer{kind: overdue, slot: i, gen: gen})
+		m.at(q.DeadlineAt+m.settings.AnswerSlackS, timer{kind: overdue, slot: i, gen: gen})
 	}
 	m.release(i, gen)
 }
@@ -434,7 +434,7 @@
 		return
 	}
 	s.over = true
-	m.gate.Gone(m.now, s.id)
+	m.gate.RequestAbandoned(m.now, s.id)
 	for n := range s.attempts {
 		m.stop(i, n)
 	}
@@ -465,7 +465,7 @@
 	s := &m.slots[e.slot]
 	s.out--
 	switch e.status {
-	case policy.Full, policy.ConnectFailed, policy.Moot:
+	case policy.Rejected, policy.ConnectFailed, policy.NotSent:
 		if s.ran--; s.ran == 0 && s.entry != nil && !s.ranFirst && !s.over {
 			m.keys.NeverRan(s.entry)
 		}
@@ -474,11 +474,11 @@
 	switch e.status {
 	case policy.ConnectFailed:
 		m.keys.Unreachable(m.now, box)
-	case policy.OK, policy.Error, policy.Full:
+	case policy.OK, policy.Error, policy.Rejected:
 		m.keys.Reached(box)
 	}
-	m.gate.Outcome(m.now, policy.Outcome{ID: s.id, Server: box, Attempt: e.n, Status: e.status, Over: s.over,
-		SpentS: e.spent, Load: e.load})
+	m.gate.Outcome(m.now, policy.Outcome{ID: s.id, Server: box, Attempt: e.n, Status: e.status, RequestEnded: s.over,
+		ElapsedS: e.spent, Load: e.load})
 	m.release(e.slot, e.gen)
 }
 
@@ -565,7 +565,7 @@
 	if p == nil || p.Rate == 0 {
 		return Quota{Burst: math.Inf(1), Room: math.Inf(1)}
 	}
-	room, ok := m.gate.Room(m.now, c.Client)
+	room, ok := m.gate.RemainingUnits(m.now, c.Client)
 	if !ok {
 		room = p.Burst
 	}
@@ -590,7 +590,7 @@
 	case policy.OK:
 		m.keys.Reached(p.Server)
 	}
-	m.gate.Probed(m.now, p)
+	m.gate.ProbeEnded(m.now, p)
 }
 
 // Peer takes a message of another instance.
@@ -598,7 +598,7 @@
 	m.enter(now)
 	defer m.leave()
 	m.counts.Heard++
-	m.gate.Peer(m.now, from, data)
+	m.gate.PeerMessage(m.now, from, data)
 }
 
 // Drain has every later call refused.
@@ -609,7 +609,7 @@
 	m.enter(now)
 	defer m.leave()
 	if c.Limit && c.done && c.Answer.Kind == Admitted {
-		m.gate.Return(m.now, c.Client, c.Units)
+		m.gate.ReturnUnits(m.now, c.Client, c.Units)
 	}
 }
 
@@ -628,7 +628,7 @@
 			a = Answer{Kind: Failed, Why: whyStopping + "; the request may have run"}
 		}
 		m.finalAll(uint32(i), a)
-		m.gate.Gone(m.now, s.id)
+		m.gate.RequestAbandoned(m.now, s.id)
 		for n := range s.attempts {
 			m.stop(uint32(i), n)
 		}
@@ -699,7 +699,7 @@
 			if s := &m.slots[t.slot]; s.gen == t.gen && s.used && !s.over {
 				m.counts.Overdue++
 				m.finalAll(t.slot, Answer{Kind: Failed, Why: "no ruling in time"})
-				m.gate.Gone(m.now, s.id)
+				m.gate.RequestAbandoned(m.now, s.id)
 				for n := range s.attempts {
 					m.stop(t.slot, n)
 				}
@@ -728,15 +728,15 @@
 	s.ran++
 	m.counts.Attempts++
 	if s.over { // ended meanwhile: nothing more may be sent for it
-		m.finish(i, n, policy.Moot, nil)
+		m.finish(i, n, policy.NotSent, nil)
 		return
 	}
 	if s.entry != nil {
 		m.keys.Sent(m.now, s.entry, server)
 	}
-	timing.AnswerS = min(timing.AnswerS, s.deadline-m.now)
-	m.at(m.now+timing.AnswerS, timer{kind: timeout, slot: i, gen: s.gen, n: n})
-	m.noteAttempt(AttemptSent, s, n, policy.OK, timing.AnswerS)
+	timing.AnswerWithinS = min(timing.AnswerWithinS, s.deadline-m.now)
+	m.at(m.now+timing.AnswerWithinS, timer{kind: timeout, slot: i, gen: s.gen, n: n})
+	m.noteAttempt(AttemptSent, s, n, policy.OK, timing.AnswerWithinS)
 	m.fx.Send(Attempt{i, s.gen, n}, server, s.payload, timing)
 }
 
@@ -789,7 +789,7 @@
 
 // Tell sends a message to another instance, or to all others.
 func (a *actions) Tell(gateway int, data []byte) {
-	if gateway == policy.Broadcast || gateway >= 0 && gateway < a.settings.Gateways && gateway != a.settings.Me {
+	if gateway == policy.Broadcast || gateway >= 0 && gateway < a.settings.Gateways && gateway != a.settings.Self {
 		a.counts.Told++
 		a.fx.Tell(gateway, data)
 	}
--- a/internal/core/machine_test.go
+++ b/internal/core/machine_test.go
@@ -19,16 +19,16 @@
 
 func settings() policy.Settings {
 	return policy.Settings{
-		Me: 0, Gateways: 1, Zone: "room0", MaxUnits: 4, MaxAttempts: 3, MaxRetryAfterS: 0.5, AnswerSlackS: 0.01,
-		Cancel: true, Parallel: true, Probes: true, ReportByProbe: true,
-		ColdFrom: 0.2, ColdS: 10, FallMultiple: 3, FallS: 1,
+		Self: 0, Gateways: 1, Zone: "room0", MaxUnits: 4, MaxAttempts: 3, MaxRetryAfterS: 0.5, AnswerSlackS: 0.01,
+		Cancel: true, ParallelAttempts: true, Probes: true, LoadFromProbes: true,
+		ColdStartShare: 0.2, ColdPeriodS: 10, OverloadMultiple: 3, OverloadWindowS: 1,
 		Classes: []policy.Class{
-			{Name: "read", AimS: 1, DeadlineS: 2, Worth: 1, LateWorth: 0.2, Effect: policy.Safe},
-			{Name: "put", AimS: 1, DeadlineS: 4, Worth: 3, Effect: policy.Keyed, KeyScope: policy.ScopeZone, KeyTTLS: 2},
-			{Name: "pay", AimS: 1, DeadlineS: 4, Worth: 5, Effect: policy.Unsafe},
+			{Name: "read", TargetLatencyS: 1, DeadlineS: 2, Value: 1, LateValueShare: 0.2, Effect: policy.Safe},
+			{Name: "put", TargetLatencyS: 1, DeadlineS: 4, Value: 3, Effect: policy.Keyed, KeyScope: policy.ScopeZone, KeyTTLS: 2},
+			{Name: "pay", TargetLatencyS: 1, DeadlineS: 4, Value: 5, Effect: policy.Unsafe},
 		},
-		Plans: []policy.Plan{{Name: "basic", Rate: 10, Burst: 20, Price: 1, ExcessCost: 1},
-			{Name: "open", Price: 1}},
+		Plans: []policy.Plan{{Name: "basic", Rate: 10, Burst: 20, ValueFactor: 1, ExcessCostShare: 1},
+			{Name: "open", ValueFactor: 1}},
 	}
 }
 
@@ -73,7 +73,7 @@
 	return m, w
 }
 
-func boxes(states ...policy.State) (list []policy.Server) {
+func boxes(states ...policy.ServerState) (list []policy.Server) {
 	for i, s := range states {
 		list = append(list, policy.Server{ID: fmt.Sprint("box", i), Zone: fmt.Sprint("room", i/2), State: s, Weight: 1})
 	}
@@ -197,7 +197,7 @@
 // Any order of events keeps the rules that a single instance can keep.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m, w := machine(t, func(s *policy.Settings) { s.Parallel = rapid.Bool().Draw(t, "parallel") })
+		m, w := machine(t, func(s *policy.Settings) { s.ParallelAttempts = rapid.Bool().Draw(t, "parallel") })
 		now := 1000.0
 		type fate struct {
 			call    *Call
@@ -288,15 +288,15 @@
 					}
 				}
 				delete(open, first)
-				st := rapid.SampledFrom([]policy.Status{policy.OK, policy.Error, policy.Full, policy.ConnectFailed, policy.Reset}).Draw(t, "status")
-				if st == policy.Full || st == policy.ConnectFailed {
+				st := rapid.SampledFrom([]policy.Status{policy.OK, policy.Error, policy.Rejected, policy.ConnectFailed, policy.Reset}).Draw(t, "status")
+				if st == policy.Rejected || st == policy.ConnectFailed {
 					byAttempt[first].maybe--
 				}
 				m.Result(now, Result{Attempt: first, Status: st, Payload: []byte("+OK\r\n")})
 			case 4:
-				states := make([]policy.State, 4)
+				states := make([]policy.ServerState, 4)
 				for i := range states {
-					states[i] = rapid.SampledFrom([]policy.State{policy.Up, policy.Up, policy.Draining, policy.Removed}).Draw(t, "state")
+					states[i] = rapid.SampledFrom([]policy.ServerState{policy.Up, policy.Up, policy.Draining, policy.Removed}).Draw(t, "state")
 					drained[fmt.Sprint("box", i)] = states[i] != policy.Up
 				}
 				m.Servers(now, boxes(states...), true)
@@ -349,7 +349,7 @@
 			g.Timer(now, 1)
 		}
 		g.Request(now, policy.Request{ID: fmt.Sprint(i), Class: "pay", Plan: "basic", Customer: names[i%len(names)],
-			DeadlineS: now + 2, Entries: 1, Units: 1, Limit: true})
+			DeadlineAt: now + 2, GatewayCount: 1, Units: 1, QuotaOnly: true})
 	}
 }
 
@@ -434,7 +434,7 @@
 func TestLoopAfterAStall(t *testing.T) {
 	clock, w := &stopped{1000}, newWorld()
 	s := settings()
-	s.Gateways, s.Peers, s.PeerIntake = 2, true, 100
+	s.Gateways, s.PeerMessages, s.PeerMessagesPerS = 2, true, 100
 	l, err := NewLoop(s, 1, clock)
 	if err != nil {
 		t.Fatal(err)
@@ -561,7 +561,7 @@
 	if !w.withdrawn[second] {
 		t.Fatalf("the second copy stands: withdrawn %v", w.withdrawn)
 	}
-	m.Result(1000.92, Result{Attempt: second, Status: policy.Moot})
+	m.Result(1000.92, Result{Attempt: second, Status: policy.NotSent})
 	if len(w.answers[c]) != 1 || m.Held() != 0 {
 		t.Fatalf("answers %v, held %d", w.answers[c], m.Held())
 	}
@@ -572,7 +572,7 @@
 func TestClientLeftInTheSameTurn(t *testing.T) {
 	clock, w := &stopped{1000}, newWorld()
 	s := settings()
-	s.Classes[0].DeadlineS, s.Classes[0].AimS = 60, 50
+	s.Classes[0].DeadlineS, s.Classes[0].TargetLatencyS = 60, 50
 	l, err := NewLoop(s, 1, clock)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -169,8 +169,8 @@
 		}
 	}()
 	var told core.Peers
-	if c.Terms.Peers && c.Terms.Gateways > 1 {
-		e.peers, err = peer.OpenPlain(c.PeerListen, c.Peers, c.PeersAll, c.Terms.Me, e.loop, log.With().Str("part", "peer").Logger())
+	if c.Terms.PeerMessages && c.Terms.Gateways > 1 {
+		e.peers, err = peer.OpenPlain(c.PeerListen, c.Peers, c.PeersAll, c.Terms.Self, e.loop, log.With().Str("part", "peer").Logger())
 		if err != nil {
 			close(e.ran)
 			return nil, err
--- a/internal/edge/plan/budget.go
+++ b/internal/edge/plan/budget.go
@@ -92,7 +92,7 @@
 // at once, each connection carries one alone.
 func Links(t terms.Terms, b Budget) (l links.Limits, openS float64) {
 	l = links.Limits{Connections: b.Backends, Pipeline: 1, RestS: restS, IdleS: idleShare * t.ConnIdleS}
-	if t.Parallel {
+	if t.ParallelAttempts {
 		l.Pipeline = min(lineMost, max(1, t.Multiplex))
 	}
 	if openS = t.DialTimeoutS; !(openS > 0) {
--- a/internal/edge/svc/backend.go
+++ b/internal/edge/svc/backend.go
@@ -75,7 +75,7 @@
 var refusals = []struct {
 	words  []byte
 	status policy.Status
-}{{[]byte("-BUSY"), policy.Full}, {[]byte("-ERR failed"), policy.Error}}
+}{{[]byte("-BUSY"), policy.Rejected}, {[]byte("-ERR failed"), policy.Error}}
 
 // parts are the value and the load report of an answer: an array of a string that is not null, what was used, and the
 // report.
--- a/internal/edge/trace.go
+++ b/internal/edge/trace.go
@@ -79,8 +79,8 @@
 	for _, b := range e.loop.Beliefs() {
 		h := held[b.Server.ID]
 		e.log.Info().Str("server", b.Server.ID).Int("state", int(b.Server.State)).Int("believed_out", b.InFlight).Int("out", h.Out).
-			Int("connections", h.Connections).Int("idle", h.Idle).Int("given_up", h.GivenUp).Float64("speed", b.Speed).
-			Float64("sick", b.Sick).Float64("util", b.Util).Float64("util_age", b.UtilAgeS).Msg("belief")
+			Int("connections", h.Connections).Int("idle", h.Idle).Int("given_up", h.GivenUp).Float64("speed", b.LatencyRatio).
+			Float64("sick", b.Suspicion).Float64("util", b.Util).Float64("util_age", b.UtilAgeS).Msg("belief")
 	}
 }
 
--- a/internal/links/links.go
+++ b/internal/links/links.go
@@ -83,7 +83,7 @@
 // Send starts an attempt: over an idle connection, else a new one, else one that rests, else in line behind the
 // fewest. With no room at all it ends at once as Full: the box has not seen it.
 func (b *Box) Send(now float64, a core.Attempt, payload []byte, timing policy.Timing) {
-	f := &flight{attempt: a, payload: payload, startBy: now + min(timing.StartS, timing.AnswerS), until: now + timing.AnswerS}
+	f := &flight{attempt: a, payload: payload, startBy: now + min(timing.StartWithinS, timing.AnswerWithinS), until: now + timing.AnswerWithinS}
 	b.flights[a] = f
 	b.place(now, f)
 }
@@ -94,7 +94,7 @@
 	switch {
 	case b.drains:
 		delete(b.flights, a)
-		b.fx.End(a, policy.Moot)
+		b.fx.End(a, policy.NotSent)
 	case idle != nil:
 		b.write(idle, f)
 	case len(b.links)+b.dialing < b.lim.Connections:
@@ -108,7 +108,7 @@
 		b.waiting = append(b.waiting, f)
 	default:
 		delete(b.flights, a)
-		b.fx.End(a, policy.Full)
+		b.fx.End(a, policy.Rejected)
 	}
 }
 
@@ -173,7 +173,7 @@
 		l.dead--
 	case b.drains || now <= f.until: // the box is not to blame
 		delete(b.flights, a)
-		b.fx.End(a, policy.Moot)
+		b.fx.End(a, policy.NotSent)
 	default:
 		delete(b.flights, a)
 		b.fx.End(a, policy.ConnectFailed)
@@ -273,7 +273,7 @@
 func (b *Box) Withdraw(a core.Attempt) {
 	if f := b.flights[a]; f != nil && !f.written {
 		b.Cancel(a)
-		b.fx.End(a, policy.Moot)
+		b.fx.End(a, policy.NotSent)
 	}
 }
 
@@ -370,7 +370,7 @@
 	b.waiting = nil
 	for _, f := range waiting {
 		delete(b.flights, f.attempt)
-		b.fx.End(f.attempt, policy.Moot)
+		b.fx.End(f.attempt, policy.NotSent)
 	}
 }
 
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -32,9 +32,9 @@
 
 func settings(me, gateways int) policy.Settings {
 	return policy.Settings{
-		Me: me, Gateways: gateways, Peers: gateways > 1, PeerIntake: 40, MaxAttempts: 3, MaxRetryAfterS: 1,
-		Classes: []policy.Class{{Name: "read", AimS: 1, DeadlineS: 2, Worth: 1, Effect: policy.Safe}},
-		Plans:   []policy.Plan{{Name: "basic", Rate: 1, Burst: 3, Price: 1, ExcessCost: 1}},
+		Self: me, Gateways: gateways, PeerMessages: gateways > 1, PeerMessagesPerS: 40, MaxAttempts: 3, MaxRetryAfterS: 1,
+		Classes: []policy.Class{{Name: "read", TargetLatencyS: 1, DeadlineS: 2, Value: 1, Effect: policy.Safe}},
+		Plans:   []policy.Plan{{Name: "basic", Rate: 1, Burst: 3, ValueFactor: 1, ExcessCostShare: 1}},
 	}
 }
 
@@ -49,9 +49,9 @@
 	gw.Servers(10, []policy.Server{{ID: "10.0.0.1:80"}}, true)
 	for i := range 2 {
 		gw.Request(10, policy.Request{ID: fmt.Sprint("r", i), Class: "read", Plan: "basic", Customer: "ada",
-			DeadlineS: 12, Entries: 1, Units: 2})
+			DeadlineAt: 12, GatewayCount: 1, Units: 2})
 	}
-	gw.Outcome(10.1, policy.Outcome{ID: "r0", Server: "10.0.0.1:80", Status: policy.OK, Over: true, SpentS: 0.1})
+	gw.Outcome(10.1, policy.Outcome{ID: "r0", Server: "10.0.0.1:80", Status: policy.OK, RequestEnded: true, ElapsedS: 0.1})
 	// Output:
 	// gateway: send r0 to 10.0.0.1:80
 	// gateway: refuse r1
@@ -68,7 +68,7 @@
 	}
 	ask := func(gateway int, id string) {
 		fleet[gateway].Request(now, policy.Request{ID: id, Class: "read", Plan: "basic", Customer: "ada",
-			DeadlineS: now + 2, Entries: 2, Units: 2})
+			DeadlineAt: now + 2, GatewayCount: 2, Units: 2})
 	}
 	ask(0, "first")
 	for range 30 { // 0.6 s of timers, with several reports in each direction
@@ -76,7 +76,7 @@
 		for i, gw := range fleet {
 			gw.Timer(now, 1)
 			for _, data := range ingresses[1-i].out {
-				gw.Peer(now, 1-i, data)
+				gw.PeerMessage(now, 1-i, data)
 			}
 			ingresses[1-i].out = nil
 		}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -18,7 +18,7 @@
 type recorder struct{ acts []out }
 
 func (rec *recorder) Send(id, s string, t Timing) {
-	rec.acts = append(rec.acts, out{kind: "send", id: id, server: s, x: t.AnswerS, start: t.StartS})
+	rec.acts = append(rec.acts, out{kind: "send", id: id, server: s, x: t.AnswerWithinS, start: t.StartWithinS})
 }
 func (rec *recorder) Refuse(id string, x float64, _ Refusal) {
 	rec.acts = append(rec.acts, out{kind: "refuse", id: id, x: x})
@@ -47,21 +47,21 @@
 
 func testSettings() Settings {
 	return Settings{
-		Me: 0, Gateways: 2, Zone: "a", MaxUnits: 4, PeerIntake: 40, Peers: true, Cancel: true, Parallel: true,
+		Self: 0, Gateways: 2, Zone: "a", MaxUnits: 4, PeerMessagesPerS: 40, PeerMessages: true, Cancel: true, ParallelAttempts: true,
 		MaxAttempts: 3, MaxRetryAfterS: 0.5, AnswerSlackS: 0.01,
-		ColdFrom: 0.2, ColdS: 10, FallMultiple: 3, FallS: 1, TickS: 0.002,
+		ColdStartShare: 0.2, ColdPeriodS: 10, OverloadMultiple: 3, OverloadWindowS: 1, TickS: 0.002,
 		Classes: []Class{
-			{Name: "read", AimS: 1, DeadlineS: 2, Worth: 1, Effect: Safe},
-			{Name: "put", AimS: 1, DeadlineS: 4, Worth: 3, Effect: Keyed, KeyScope: ScopeZone, KeyTTLS: 2},
-			{Name: "cell", AimS: 1, DeadlineS: 4, Worth: 3, Effect: Keyed, KeyScope: ScopeCell, KeyTTLS: 2},
-			{Name: "any", AimS: 3, DeadlineS: 4, Worth: 3, Effect: Keyed, KeyScope: ScopeAll, KeyTTLS: 0.5},
-			{Name: "pay", AimS: 1, DeadlineS: 4, Worth: 5, Effect: Unsafe},
+			{Name: "read", TargetLatencyS: 1, DeadlineS: 2, Value: 1, Effect: Safe},
+			{Name: "put", TargetLatencyS: 1, DeadlineS: 4, Value: 3, Effect: Keyed, KeyScope: ScopeZone, KeyTTLS: 2},
+			{Name: "cell", TargetLatencyS: 1, DeadlineS: 4, Value: 3, Effect: Keyed, KeyScope: ScopeCell, KeyTTLS: 2},
+			{Name: "any", TargetLatencyS: 3, DeadlineS: 4, Value: 3, Effect: Keyed, KeyScope: ScopeAll, KeyTTLS: 0.5},
+			{Name: "pay", TargetLatencyS: 1, DeadlineS: 4, Value: 5, Effect: Unsafe},
 		},
 		Plans: []Plan{
-			{Name: "basic", Rate: 2, Burst: 8, Price: 1, ExcessCost: 1},
-			{Name: "capped", Rate: 10, Burst: 20, Price: 1, ExcessCost: 1, CeilingRate: 20, CeilingBurst: 40, CeilingSlack: 4},
-			{Name: "open", Parallel: 2, Price: 1, ExcessCost: 1},
-			{Name: "wide", Rate: 1000, Burst: 4000, Price: 1},
+			{Name: "basic", Rate: 2, Burst: 8, ValueFactor: 1, ExcessCostShare: 1},
+			{Name: "capped", Rate: 10, Burst: 20, ValueFactor: 1, ExcessCostShare: 1, CeilingRate: 20, CeilingBurst: 40, CeilingSlack: 4},
+			{Name: "open", MaxParallel: 2, ValueFactor: 1, ExcessCostShare: 1},
+			{Name: "wide", Rate: 1000, Burst: 4000, ValueFactor: 1},
 		},
 	}
 }
@@ -87,8 +87,8 @@
 	if class != "read" {
 		d = 4
 	}
-	gw.Request(now, Request{ID: id, Class: class, Plan: plan, Customer: "c-" + plan, DeadlineS: now + d,
-		First: 0, Entries: gw.s.Gateways, Units: units})
+	gw.Request(now, Request{ID: id, Class: class, Plan: plan, Customer: "c-" + plan, DeadlineAt: now + d,
+		FirstGateway: 0, GatewayCount: gw.s.Gateways, Units: units})
 }
 
 func TestQuotaIsEnforcedAndRefills(t *testing.T) {
@@ -126,7 +126,7 @@
 	if n := len(rec.of("send", "")); n != 2 {
 		t.Fatalf("%d attempts in flight, want 2", n)
 	}
-	gw.Outcome(100.1, Outcome{ID: "q0", Server: "s1", Status: OK, Over: true, SpentS: 0.1})
+	gw.Outcome(100.1, Outcome{ID: "q0", Server: "s1", Status: OK, RequestEnded: true, ElapsedS: 0.1})
 	ask(gw, 100.1, "q3", "read", "open", 1)
 	if len(rec.of("send", "q3")) != 1 {
 		t.Fatal("an ended attempt did not free its slot")
@@ -154,12 +154,12 @@
 	for _, c := range []struct {
 		status Status
 		want   string
-	}{{Full, "send"}, {ConnectFailed, "send"}, {Moot, "send"}, {Error, "fail"}, {Timeout, "fail"}, {Reset, "fail"}, {Cancelled, "fail"}} {
+	}{{Rejected, "send"}, {ConnectFailed, "send"}, {NotSent, "send"}, {Error, "fail"}, {Timeout, "fail"}, {Reset, "fail"}, {Cancelled, "fail"}} {
 		gw, rec := gateway(t, alone)
 		ask(gw, 100, "p", "pay", "wide", 1)
 		first := rec.of("send", "p")[0]
 		rec.acts = nil
-		gw.Outcome(100.2, Outcome{ID: "p", Server: first.server, Status: c.status, SpentS: 0.2})
+		gw.Outcome(100.2, Outcome{ID: "p", Server: first.server, Status: c.status, ElapsedS: 0.2})
 		if len(rec.of(c.want, "p")) != 1 || len(rec.of("send", "p"))+len(rec.of("fail", "p"))+len(rec.of("refuse", "p")) != 1 {
 			t.Errorf("status %d: want one %s, got %v", c.status, c.want, rec.acts)
 		}
@@ -180,7 +180,7 @@
 			t.Fatalf("a first attempt begins within %v s, its answer is awaited for %v s", first.start, first.x)
 		}
 		rec.acts = nil
-		gw.Outcome(100+c.endsAfter, Outcome{ID: "t", Server: first.server, Status: Reset, SpentS: c.endsAfter})
+		gw.Outcome(100+c.endsAfter, Outcome{ID: "t", Server: first.server, Status: Reset, ElapsedS: c.endsAfter})
 		again := rec.of("send", "t")
 		if (len(again) == 1) != c.begins {
 			t.Errorf("after %v s: %d repeats", c.endsAfter, len(again))
@@ -201,7 +201,7 @@
 		ask(gw, 100, id, "put", "wide", 1)
 		first := rec.of("send", id)[0].server
 		rec.acts = nil
-		gw.Outcome(100.2, Outcome{ID: id, Server: first, Status: Reset, SpentS: 0.2})
+		gw.Outcome(100.2, Outcome{ID: id, Server: first, Status: Reset, ElapsedS: 0.2})
 		for _, a := range rec.of("send", id) {
 			if zone[a.server] != zone[first] {
 				t.Fatalf("retried from %s at %s in another zone", first, a.server)
@@ -211,7 +211,7 @@
 	gw, rec := gateway(t, alone)
 	ask(gw, 100, "c", "cell", "wide", 1)
 	first := rec.of("send", "c")[0].server
-	gw.Outcome(100.2, Outcome{ID: "c", Server: first, Status: Error, SpentS: 0.2})
+	gw.Outcome(100.2, Outcome{ID: "c", Server: first, Status: Error, ElapsedS: 0.2})
 	for _, a := range rec.of("send", "c") {
 		if a.server != first {
 			t.Fatalf("retried at %s in another cell", a.server)
@@ -220,7 +220,7 @@
 	gw, rec = gateway(t, alone)
 	ask(gw, 100, "t", "any", "wide", 1)
 	first = rec.of("send", "t")[0].server
-	gw.Outcome(100.6, Outcome{ID: "t", Server: first, Status: Error, SpentS: 0.6})
+	gw.Outcome(100.6, Outcome{ID: "t", Server: first, Status: Error, ElapsedS: 0.6})
 	if len(rec.of("send", "t")) != 1 || len(rec.of("refuse", "t")) != 1 {
 		t.Fatalf("after the key has expired: want a refusal and no retry, got %v", rec.acts)
 	}
@@ -232,7 +232,7 @@
 		ask(gw, 100, "d", class, "wide", 1)
 		first := rec.of("send", "d")[0].server
 		rec.acts = nil
-		gw.Outcome(104, Outcome{ID: "d", Server: first, Status: Timeout, SpentS: 4})
+		gw.Outcome(104, Outcome{ID: "d", Server: first, Status: Timeout, ElapsedS: 4})
 		if len(rec.of(want, "d")) != 1 || len(rec.of("send", "d")) != 0 {
 			t.Errorf("%s: want one %s in the same batch, got %v", class, want, rec.acts)
 		}
@@ -243,7 +243,7 @@
 func TestRequestWithNoTimeLeftIsRefusedAtOnce(t *testing.T) {
 	gw, rec := gateway(t, alone)
 	gw.Servers(100, []Server{{ID: "s1", Zone: "a", State: Draining}}, true)
-	gw.Request(100, Request{ID: "x", Class: "read", Plan: "basic", Customer: "c", DeadlineS: 100.005, Entries: 1, Units: 1})
+	gw.Request(100, Request{ID: "x", Class: "read", Plan: "basic", Customer: "c", DeadlineAt: 100.005, GatewayCount: 1, Units: 1})
 	if len(rec.of("refuse", "x")) != 1 {
 		t.Fatal("not refused on arrival")
 	}
@@ -274,7 +274,7 @@
 	for i := range 200 {
 		id := fmt.Sprint("q", i)
 		for n, a := range rec.of("send", id) {
-			gw.Outcome(100.2, Outcome{ID: id, Server: a.server, Attempt: n, Status: OK, Over: true, SpentS: 0.1})
+			gw.Outcome(100.2, Outcome{ID: id, Server: a.server, Attempt: n, Status: OK, RequestEnded: true, ElapsedS: 0.1})
 		}
 	}
 	later := 0
@@ -298,14 +298,14 @@
 		id := fmt.Sprint("q", i)
 		ask(gw, now, id, "read", "wide", 1)
 		s := at(id)
-		gw.Outcome(now+0.01, Outcome{ID: id, Server: s, Status: OK, Over: true, SpentS: 0.1})
+		gw.Outcome(now+0.01, Outcome{ID: id, Server: s, Status: OK, RequestEnded: true, ElapsedS: 0.1})
 		gw.Timer(now+0.01, 1)
 		return s
 	}
 	for i := range 300 {
 		step(i, 100+float64(i)*0.02)
 	}
-	gw.Servers(106, []Server{{ID: "s1", Zone: "a", Cell: 1, SinceS: 105.9}}, false)
+	gw.Servers(106, []Server{{ID: "s1", Zone: "a", Cell: 1, StartedAt: 105.9}}, false)
 	cold, warm := 0, 0
 	for i := range 50 {
 		if step(1000+i, 106+float64(i)*0.02) == "s1" {
@@ -322,7 +322,7 @@
 // pair connects two gateways without message loss or delay.
 func pair(t *testing.T) (gw [2]*Gateway, rec [2]*recorder, pump func(now float64)) {
 	for i := range 2 {
-		gw[i], rec[i] = gateway(t, func(s *Settings) { s.Me = i })
+		gw[i], rec[i] = gateway(t, func(s *Settings) { s.Self = i })
 	}
 	seen := [2]int{}
 	return gw, rec, func(now float64) {
@@ -332,7 +332,7 @@
 		for i := range 2 {
 			for ; seen[i] < len(rec[i].acts); seen[i]++ {
 				if a := rec[i].acts[seen[i]]; a.kind == "tell" {
-					gw[1-i].Peer(now, i, a.data)
+					gw[1-i].PeerMessage(now, i, a.data)
 				}
 			}
 		}
@@ -361,7 +361,7 @@
 	for ; *seen < len(rec.acts); *seen++ {
 		if a := rec.acts[*seen]; a.kind == "send" {
 			ids = append(ids, a.id)
-			gw.Outcome(now, Outcome{ID: a.id, Server: a.server, Status: OK, Over: true, SpentS: 0.05})
+			gw.Outcome(now, Outcome{ID: a.id, Server: a.server, Status: OK, RequestEnded: true, ElapsedS: 0.05})
 		}
 	}
 	return ids
@@ -369,7 +369,7 @@
 
 func TestRestartedOwnerRestoresItsCountFromReports(t *testing.T) {
 	gw, rec, pump := pair(t)
-	owner := gw[0].customer(Request{Customer: "c-basic", Plan: "basic", Entries: 2}).prime
+	owner := gw[0].customer(Request{Customer: "c-basic", Plan: "basic", GatewayCount: 2}).prime
 	m, seen := 1-owner, 0
 	for i := range 100 {
 		now := 102 + float64(i)*0.02
@@ -378,7 +378,7 @@
 		served(gw[m], rec[m], &seen, now)
 	}
 	s := testSettings()
-	s.Me = owner
+	s.Self = owner
 	fresh, err := New(s, 99, 104, rec[owner])
 	if err != nil {
 		t.Fatal(err)
@@ -392,7 +392,7 @@
 	}
 	for _, a := range rec[m].acts[n:] {
 		if a.kind == "tell" {
-			fresh.Peer(104.3, m, a.data)
+			fresh.PeerMessage(104.3, m, a.data)
 		}
 	}
 	c := fresh.custs[uint32(hashOf("c-basic")>>32)]
@@ -409,12 +409,12 @@
 	name := ""
 	for i := 0; ; i++ {
 		name = fmt.Sprint("k", i)
-		if gw.walk(&customer{hash: hashOf(name), entries: gw.s.Gateways}, false) != gw.s.Me {
+		if gw.walk(&customer{hash: hashOf(name), entries: gw.s.Gateways}, false) != gw.s.Self {
 			break
 		}
 	}
 	return gw, rec, func(now float64, id string, units float64) *customer {
-		gw.Request(now, Request{ID: id, Class: "read", Plan: "basic", Customer: name, DeadlineS: now + 2, Entries: gw.s.Gateways,
+		gw.Request(now, Request{ID: id, Class: "read", Plan: "basic", Customer: name, DeadlineAt: now + 2, GatewayCount: gw.s.Gateways,
 			Units: units})
 		return gw.custs[uint32(hashOf(name)>>32)]
 	}
@@ -451,7 +451,7 @@
 			t.Fatal("one of a hundred gateways decided alone")
 		}
 		from, b := verdictOf(t, rec, 1, func(reply *record) { reply.Total += grant; reply.Room = 1 })
-		gw.Peer(100.03, from, b)
+		gw.PeerMessage(100.03, from, b)
 		if sent := len(rec.of("send", "q")); sent != int(grant/2) || sent+len(rec.of("refuse", "q")) != 1 {
 			t.Fatalf("%v of 2 units granted: %v", grant, rec.acts)
 		}
@@ -464,7 +464,7 @@
 	for i := range 30 {
 		b := appendRecord(appendHeader(nil, 1, 1), record{Key: 77, Plan: 0, Want: 1, First: 1})
 		b[msgCount] = 1
-		gw.Peer(100, 1+i, b)
+		gw.PeerMessage(100, 1+i, b)
 		tells := rec.of("tell", "")
 		_, _, recs, _, _ := parseMessage(tells[len(tells)-1].data, 100)
 		if granted += recs[0].Total; i == 29 && recs[0].Hold == 0 {
@@ -482,7 +482,7 @@
 	report := func(seq uint16, rec record) {
 		b := appendRecord(appendHeader(nil, 1, seq), rec)
 		b[msgCount] = 1
-		gw.Peer(100, 1, b)
+		gw.PeerMessage(100, 1, b)
 	}
 	report(1, record{Key: 77, Want: 6, First: 6})
 	report(2, record{Key: 77, Want: 6, First: 6}) // reported again, as the reply was lost
@@ -524,7 +524,7 @@
 		t.Fatal("a pause of this gateway counted as silence of a peer")
 	}
 	from, b := verdictOf(t, rec, 1, func(reply *record) { reply.Total += 2 })
-	gw.Peer(100.5, from, b)
+	gw.PeerMessage(100.5, from, b)
 	if len(rec.of("send", "q")) != 1 {
 		t.Fatal("the reply that arrived meanwhile was not used")
 	}
@@ -546,7 +546,7 @@
 	var seen [n]int
 	born := func(i int, now float64) {
 		s := testSettings()
-		s.Me, s.Gateways, s.Plans[1].Rate, s.Plans[1].Burst = i, n, rate, burst
+		s.Self, s.Gateways, s.Plans[1].Rate, s.Plans[1].Burst = i, n, rate, burst
 		recs[i], seen[i] = &recorder{}, 0
 		gateways[i], _ = New(s, uint64(i), now, recs[i])
 		gateways[i].Servers(now, []Server{{ID: "s1"}, {ID: "s2"}}, true)
@@ -561,8 +561,8 @@
 			born(k/300%n, now)
 		}
 		i := k * 7 % n
-		gateways[i].Request(now, Request{ID: fmt.Sprint("q", k), Class: "read", Plan: "capped", Customer: "c", DeadlineS: now + 2,
-			Entries: n, Units: 2})
+		gateways[i].Request(now, Request{ID: fmt.Sprint("q", k), Class: "read", Plan: "capped", Customer: "c", DeadlineAt: now + 2,
+			GatewayCount: n, Units: 2})
 		for i := range n {
 			if gateways[i].Timer(now, 1); k%4 != 0 {
 				continue
@@ -571,9 +571,9 @@
 				switch a := recs[i].acts[seen[i]]; {
 				case a.kind == "send":
 					units += 2
-					gateways[i].Outcome(now, Outcome{ID: a.id, Status: OK, Over: true, SpentS: 0.05})
+					gateways[i].Outcome(now, Outcome{ID: a.id, Status: OK, RequestEnded: true, ElapsedS: 0.05})
 				case a.kind == "tell" && seen[i]%5 != 0:
-					gateways[a.to].Peer(now, i, a.data)
+					gateways[a.to].PeerMessage(now, i, a.data)
 				}
 			}
 		}
@@ -628,7 +628,7 @@
 			id := fmt.Sprint(class, i)
 			ask(gw, 100.5, id, class, "wide", 1)
 			at := rec.of("send", id)[0].server
-			if gw.Outcome(100.5, Outcome{ID: id, Status: OK, Over: true, SpentS: 0.05}); at == "s1" && class == "read" {
+			if gw.Outcome(100.5, Outcome{ID: id, Status: OK, RequestEnded: true, ElapsedS: 0.05}); at == "s1" && class == "read" {
 				t.Fatal("a server that is suspected for a class was sent a request of it")
 			} else if at == "s1" {
 				pays++
@@ -644,11 +644,11 @@
 // other messages.
 func TestServerUpdatesAreGossiped(t *testing.T) {
 	a, recA, ask := asMember(t, fleet(100))
-	b, recB := gateway(t, func(s *Settings) { s.Gateways, s.Me = 100, 1 })
+	b, recB := gateway(t, func(s *Settings) { s.Gateways, s.Self = 100, 1 })
 	a.fails(a.servers["s2"], a.classes["pay"], 1)
 	a.report(a.servers["s1"], &Load{Util: 0.6})
 	ask(100, "q", 2)
-	b.Peer(100.01, 0, recA.of("tell", "")[0].data)
+	b.PeerMessage(100.01, 0, recA.of("tell", "")[0].data)
 	if b.sickness(b.servers["s2"], b.classes["pay"]) < 0.9 || b.sickness(b.servers["s2"], b.classes["read"]) > 0 {
 		t.Fatal("the suspicion was not passed on")
 	}
@@ -699,13 +699,13 @@
 	for i := range 40 {
 		id := fmt.Sprint("q", i)
 		ask(gw, 100+float64(i), id, "read", "basic", 1)
-		gw.Outcome(100+float64(i), Outcome{ID: id, Server: rec.of("send", id)[0].server, Status: OK, Over: true, SpentS: 0.1})
+		gw.Outcome(100+float64(i), Outcome{ID: id, Server: rec.of("send", id)[0].server, Status: OK, RequestEnded: true, ElapsedS: 0.1})
 	}
-	gw.Request(150, Request{ID: "late", Class: "read", Plan: "basic", Customer: "x", DeadlineS: 150.8, Entries: 1, Units: 1})
+	gw.Request(150, Request{ID: "late", Class: "read", Plan: "basic", Customer: "x", DeadlineAt: 150.8, GatewayCount: 1, Units: 1})
 	if len(rec.of("send", "late")) != 0 || len(rec.of("refuse", "late")) != 1 {
 		t.Fatal("a retry that is past its target was sent")
 	}
-	gw.Request(150, Request{ID: "soon", Class: "read", Plan: "basic", Customer: "x", DeadlineS: 151.7, Entries: 1, Units: 1})
+	gw.Request(150, Request{ID: "soon", Class: "read", Plan: "basic", Customer: "x", DeadlineAt: 151.7, GatewayCount: 1, Units: 1})
 	if len(rec.of("send", "soon")) != 1 {
 		t.Fatal("a retry that can still meet its target was refused")
 	}
@@ -716,19 +716,19 @@
 	n := len(rec.acts)
 	good := appendRecord(appendHeader(nil, 1, 1), record{Key: 5, Plan: 15})
 	for i := range good {
-		gw.Peer(100, 1, good[:i])
+		gw.PeerMessage(100, 1, good[:i])
 	}
-	gw.Peer(100, 9, good)
-	gw.Peer(100, -1, good)
-	gw.Peer(100, 1, append([]byte{msgVersion + 1}, good[1:]...))
+	gw.PeerMessage(100, 9, good)
+	gw.PeerMessage(100, -1, good)
+	gw.PeerMessage(100, 1, append([]byte{msgVersion + 1}, good[1:]...))
 	good[msgCount] = 1
-	gw.Peer(100, 1, good)
-	gw.Peer(100, 1, append(good, 1, 2, 3))
-	gw.Peer(100, 1, make([]byte, 4000))
+	gw.PeerMessage(100, 1, good)
+	gw.PeerMessage(100, 1, append(good, 1, 2, 3))
+	gw.PeerMessage(100, 1, make([]byte, 4000))
 	gw.Outcome(100, Outcome{ID: "none", Server: "s1"})
-	gw.Gone(100, "none")
-	gw.Started(100, "none", 0)
-	gw.Probed(100, ProbeResult{Server: "none"})
+	gw.RequestAbandoned(100, "none")
+	gw.StreamStarted(100, "none", 0)
+	gw.ProbeEnded(100, ProbeResult{Server: "none"})
 	gw.Timer(100, 77)
 	if len(rec.acts) != n {
 		t.Fatalf("acted on invalid input: %v", rec.acts[n:])
@@ -739,7 +739,7 @@
 	for want, change := range map[string]func(*Settings){
 		"gateways": func(s *Settings) { s.Gateways = 0 },
 		"16 at":    func(s *Settings) { s.Plans = make([]Plan, 17) },
-		"me is":    func(s *Settings) { s.Me = 2 },
+		"me is":    func(s *Settings) { s.Self = 2 },
 		"classes":  func(s *Settings) { s.Classes = nil },
 		"deadline": func(s *Settings) { s.Classes[0].DeadlineS = 0 },
 		"burst":    func(s *Settings) { s.Plans[0].Burst = 0 },
@@ -759,10 +759,10 @@
 		for i := range 300 {
 			now := 100 + float64(i)*0.01
 			id := fmt.Sprint("q", i)
-			gw.Request(now, Request{ID: id, Class: "read", Plan: "wide", Customer: fmt.Sprint("c", i%37), DeadlineS: now + 2,
-				Entries: 2, Units: 1})
+			gw.Request(now, Request{ID: id, Class: "read", Plan: "wide", Customer: fmt.Sprint("c", i%37), DeadlineAt: now + 2,
+				GatewayCount: 2, Units: 1})
 			for n, a := range rec.of("send", id) {
-				gw.Outcome(now, Outcome{ID: id, Server: a.server, Attempt: n, Status: Status(i % 4), SpentS: 0.05})
+				gw.Outcome(now, Outcome{ID: id, Server: a.server, Attempt: n, Status: Status(i % 4), ElapsedS: 0.05})
 			}
 			gw.Timer(now, 1)
 		}
@@ -813,7 +813,7 @@
 	gw, _ := gateway(t, nil)
 	b := appendRecord(appendHeader(nil, 1, 1), record{Key: 5, Known: true, Total: 0, Room: 1})
 	b[msgCount] = 1
-	gw.Peer(104, 1, b)
+	gw.PeerMessage(104, 1, b)
 	if remaining := gw.ledger(gw.custs[5]).room; remaining > 1 {
 		t.Fatalf("%v units remain after a member reported 1", remaining)
 	}
@@ -822,23 +822,23 @@
 // A request for units only is charged to the same quota as other requests, keeps its units and is never sent
 // to a server.
 func TestQuotaOnlyRequestSharesTheQuota(t *testing.T) {
-	gw, rec := gateway(t, func(s *Settings) { s.Gateways, s.Peers = 1, false })
+	gw, rec := gateway(t, func(s *Settings) { s.Gateways, s.PeerMessages = 1, false })
 	for i := range 3 {
-		gw.Request(100, Request{ID: fmt.Sprint("l", i), Class: "pay", Plan: "basic", Customer: "ada", DeadlineS: 102,
-			Units: 3, Limit: true})
+		gw.Request(100, Request{ID: fmt.Sprint("l", i), Class: "pay", Plan: "basic", Customer: "ada", DeadlineAt: 102,
+			Units: 3, QuotaOnly: true})
 	}
 	if len(rec.of("admit", "")) != 2 || len(rec.of("refuse", "l2")) != 1 || len(rec.of("send", "")) != 0 {
 		t.Fatalf("want two of three requests admitted and none sent: %+v", rec.acts)
 	}
-	if remaining, ok := gw.Room(100, "ada"); !ok || remaining != 2 {
+	if remaining, ok := gw.RemainingUnits(100, "ada"); !ok || remaining != 2 {
 		t.Fatalf("%v units remain (known: %v), want 2 as admitted units stay charged", remaining, ok)
 	}
-	gw.Request(100, Request{ID: "w", Class: "pay", Plan: "basic", Customer: "ada", DeadlineS: 102, Units: 2})
-	gw.Request(100, Request{ID: "l3", Class: "pay", Plan: "basic", Customer: "ada", DeadlineS: 102, Units: 1, Limit: true})
+	gw.Request(100, Request{ID: "w", Class: "pay", Plan: "basic", Customer: "ada", DeadlineAt: 102, Units: 2})
+	gw.Request(100, Request{ID: "l3", Class: "pay", Plan: "basic", Customer: "ada", DeadlineAt: 102, Units: 1, QuotaOnly: true})
 	if len(rec.of("send", "w")) != 1 || len(rec.of("refuse", "l3")) != 1 {
 		t.Fatalf("requests with and without QuotaOnly should share a quota: %+v", rec.acts)
 	}
-	if _, ok := gw.Room(100, "eve"); ok {
+	if _, ok := gw.RemainingUnits(100, "eve"); ok {
 		t.Fatal("remaining units of an unknown customer")
 	}
 }
@@ -849,11 +849,11 @@
 	gw, rec := gateway(t, nil)
 	name := ""
 	for i := 0; name == ""; i++ {
-		if c := gw.customer(Request{Customer: fmt.Sprint("c", i), Plan: "basic", Entries: 2}); c.prime == 1 {
+		if c := gw.customer(Request{Customer: fmt.Sprint("c", i), Plan: "basic", GatewayCount: 2}); c.prime == 1 {
 			name = fmt.Sprint("c", i)
 		}
 	}
-	gw.Request(100, Request{ID: "l", Class: "read", Plan: "basic", Customer: name, DeadlineS: 102, Entries: 2, Units: 5, Limit: true})
+	gw.Request(100, Request{ID: "l", Class: "read", Plan: "basic", Customer: name, DeadlineAt: 102, GatewayCount: 2, Units: 5, QuotaOnly: true})
 	if len(rec.of("tell", "")) != 1 || len(rec.of("admit", "l")) != 0 {
 		t.Fatalf("want the owner asked first: %+v", rec.acts)
 	}
@@ -869,8 +869,8 @@
 func TestHomeServerIsKept(t *testing.T) {
 	gw, rec := gateway(t, nil)
 	for i := range 20 {
-		gw.Request(100, Request{ID: fmt.Sprint("k", i), Class: "put", Plan: "wide", Customer: "ada", DeadlineS: 104,
-			Units: 1, Entries: 1, Home: "s3"})
+		gw.Request(100, Request{ID: fmt.Sprint("k", i), Class: "put", Plan: "wide", Customer: "ada", DeadlineAt: 104,
+			Units: 1, GatewayCount: 1, HomeServer: "s3"})
 	}
 	if len(rec.of("send", "")) == 0 {
 		t.Fatal("nothing was sent")
@@ -887,8 +887,8 @@
 func TestEarlierRunOfAKey(t *testing.T) {
 	gw, rec := gateway(t, nil)
 	put := func(id string, ranAt float64) {
-		gw.Request(gw.now, Request{ID: id, Class: "put", Plan: "wide", Customer: "ada", DeadlineS: gw.now + 4, Units: 1, Entries: 1,
-			Ran: "s3", RanAt: ranAt})
+		gw.Request(gw.now, Request{ID: id, Class: "put", Plan: "wide", Customer: "ada", DeadlineAt: gw.now + 4, Units: 1, GatewayCount: 1,
+			EarlierServer: "s3", EarlierSentAt: ranAt})
 	}
 	put("soon", 99.5)
 	if a := rec.of("send", "soon"); len(a) != 1 || a[0].server != "s3" {
@@ -910,19 +910,19 @@
 
 // Returned units can be used again.
 func TestReturnUnits(t *testing.T) {
-	gw, rec := gateway(t, func(s *Settings) { s.Gateways, s.Peers = 1, false })
+	gw, rec := gateway(t, func(s *Settings) { s.Gateways, s.PeerMessages = 1, false })
 	ask := func(id string) {
-		gw.Request(100, Request{ID: id, Class: "pay", Plan: "basic", Customer: "ada", DeadlineS: 102, Units: 8, Limit: true})
+		gw.Request(100, Request{ID: id, Class: "pay", Plan: "basic", Customer: "ada", DeadlineAt: 102, Units: 8, QuotaOnly: true})
 	}
 	ask("a")
 	ask("b")
-	gw.Return(100, "ada", 8)
-	gw.Return(100, "eve", 8)
+	gw.ReturnUnits(100, "ada", 8)
+	gw.ReturnUnits(100, "eve", 8)
 	ask("c")
 	if len(rec.of("admit", "a")) != 1 || len(rec.of("refuse", "b")) != 1 || len(rec.of("admit", "c")) != 1 {
 		t.Fatalf("%+v", rec.acts)
 	}
-	if remaining, _ := gw.Room(100, "ada"); remaining != 0 {
+	if remaining, _ := gw.RemainingUnits(100, "ada"); remaining != 0 {
 		t.Fatalf("%v units remain, want 0", remaining)
 	}
 }
@@ -933,13 +933,13 @@
 	gw, rec := gateway(t, nil)
 	name := ""
 	for i := 0; name == ""; i++ {
-		if c := gw.customer(Request{Customer: fmt.Sprint("c", i), Plan: "basic", Entries: 2}); c.prime == 1 {
+		if c := gw.customer(Request{Customer: fmt.Sprint("c", i), Plan: "basic", GatewayCount: 2}); c.prime == 1 {
 			name = fmt.Sprint("c", i)
 		}
 	}
 	for i := range 8 {
-		gw.Request(100, Request{ID: fmt.Sprint("b", i), Class: "pay", Plan: "basic", Customer: name, DeadlineS: 104, Entries: 2,
-			Units: 1, Limit: true})
+		gw.Request(100, Request{ID: fmt.Sprint("b", i), Class: "pay", Plan: "basic", Customer: name, DeadlineAt: 104, GatewayCount: 2,
+			Units: 1, QuotaOnly: true})
 	}
 	if n := len(rec.of("admit", "")); n != 4 {
 		t.Errorf("%d of a burst of 8 admitted without a reply, want this gateway's split of 4", n)
@@ -961,16 +961,16 @@
 		gw.Servers(100, []Server{{ID: "s1"}, {ID: "s2"}}, true)
 		customerID := ""
 		for i := 0; customerID == ""; i++ { // a customer that this gateway owns
-			c := gw.customer(Request{Customer: fmt.Sprint("c", i), Plan: "basic", Entries: n})
-			if c.prime == gw.s.Me {
+			c := gw.customer(Request{Customer: fmt.Sprint("c", i), Plan: "basic", GatewayCount: n})
+			if c.prime == gw.s.Self {
 				customerID = fmt.Sprint("c", i)
 			}
 		}
 		ask := func(now float64) (passed int) {
 			before := len(rec.of("admit", ""))
 			for i := range 20 {
-				gw.Request(now, Request{ID: fmt.Sprint("q", now, i), Class: "read", Plan: "basic", Customer: customerID, DeadlineS: now + 10,
-					Entries: n, Units: 1, Limit: true})
+				gw.Request(now, Request{ID: fmt.Sprint("q", now, i), Class: "read", Plan: "basic", Customer: customerID, DeadlineAt: now + 10,
+					GatewayCount: n, Units: 1, QuotaOnly: true})
 			}
 			return len(rec.of("admit", "")) - before
 		}
@@ -1018,7 +1018,7 @@
 	if gw.servers["old"] == nil {
 		t.Error("a server with an attempt in flight was forgotten")
 	}
-	gw.Outcome(now, Outcome{ID: "q", Server: "old", Status: Timeout, Over: true})
+	gw.Outcome(now, Outcome{ID: "q", Server: "old", Status: Timeout, RequestEnded: true})
 	for end := now + forgetS; now < end; now++ {
 		gw.Timer(now, 1)
 	}
@@ -1035,7 +1035,7 @@
 	step := func(now float64, id string, s Status) (sent bool) {
 		ask(gw, now, id, "pay", "wide", 1)
 		if sent = len(rec.of("send", id)) == 1; sent {
-			gw.Outcome(now+0.1, Outcome{ID: id, Server: "s1", Status: s, SpentS: 0.1})
+			gw.Outcome(now+0.1, Outcome{ID: id, Server: "s1", Status: s, ElapsedS: 0.1})
 		}
 		return sent
 	}
@@ -1103,7 +1103,7 @@
 			gw, _ = New(s, 7, 100, rec)
 			gw.Servers(100, []Server{{ID: "s1", Zone: "a"}, {ID: "s2", Zone: "a"}}, true)
 			customer = fmt.Sprint("c", k)
-			x := gw.customer(Request{Customer: customer, Plan: c.plan, Entries: 3})
+			x := gw.customer(Request{Customer: customer, Plan: c.plan, GatewayCount: 3})
 			gw.peers[1].missed, gw.peers[1].missAt = missMost, gw.now
 			away := gw.walk(x, true)
 			gw.peers[1].missed = 0
@@ -1118,10 +1118,10 @@
 				seq++
 				b := appendRecord(appendHeader(nil, 1, seq), record{Key: 9, Plan: 0, Total: 1})
 				b[msgCount] = 1
-				gw.Peer(now, 2, b)
+				gw.PeerMessage(now, 2, b)
 			}
 			if i%2 == 0 {
-				gw.Request(now, Request{ID: fmt.Sprint("q", i), Class: "read", Plan: c.plan, Customer: customer, DeadlineS: now + 2, Entries: 3, Units: 1})
+				gw.Request(now, Request{ID: fmt.Sprint("q", i), Class: "read", Plan: c.plan, Customer: customer, DeadlineAt: now + 2, GatewayCount: 3, Units: 1})
 			}
 			gw.Timer(now, 1)
 			served(gw, rec, &seen, now)
@@ -1141,7 +1141,7 @@
 		gw.classes["read"].lat = 0.1
 		ask(gw, 100, "q", "read", "wide", 1)
 		s := rec.of("send", "q")[0].server
-		gw.Outcome(100+spent, Outcome{ID: "q", Server: s, Status: Timeout, SpentS: spent})
+		gw.Outcome(100+spent, Outcome{ID: "q", Server: s, Status: Timeout, ElapsedS: spent})
 		return gw.sickness(gw.servers[s], gw.classes["read"])
 	}
 	if short, long := suspicionAfter(0.15), suspicionAfter(0.6); short > 0.1 || long < 0.4 {
@@ -1159,7 +1159,7 @@
 			n++
 			id, now := fmt.Sprint("q", n), 100+float64(n)*0.02
 			ask(gw, now, id, "read", "wide", 1)
-			gw.Outcome(now+0.01, Outcome{ID: id, Server: rec.of("send", id)[0].server, Status: OK, Over: true, SpentS: spent})
+			gw.Outcome(now+0.01, Outcome{ID: id, Server: rec.of("send", id)[0].server, Status: OK, RequestEnded: true, ElapsedS: spent})
 		}
 		for range 30 {
 			one(first)
@@ -1183,14 +1183,14 @@
 // remaining ones were overloaded.
 func TestAnswerOfASuspectedServerIsGossiped(t *testing.T) {
 	a, recA, ask := asMember(t, fleet(100))
-	b, _ := gateway(t, func(s *Settings) { s.Gateways, s.Me = 100, 1 })
+	b, _ := gateway(t, func(s *Settings) { s.Gateways, s.Self = 100, 1 })
 	for _, gw := range []*Gateway{a, b} {
 		gw.servers["s2"].sick[gw.classes["read"].index] = sick{0.9, 99}
 	}
 	answered := &request{cls: a.classes["read"]}
-	a.learn(answered, &attempt{srv: a.servers["s2"], sentAt: 99.9}, Outcome{Status: OK, SpentS: 0.1})
+	a.learn(answered, &attempt{srv: a.servers["s2"], sentAt: 99.9}, Outcome{Status: OK, ElapsedS: 0.1})
 	ask(100, "q", 2)
-	b.Peer(100.01, 0, recA.of("tell", "")[0].data)
+	b.PeerMessage(100.01, 0, recA.of("tell", "")[0].data)
 	for name, gw := range map[string]*Gateway{"the gateway that got the answer": a, "the other gateway": b} {
 		if x := gw.sickness(gw.servers["s2"], gw.classes["read"]); x > 0.01 {
 			t.Errorf("%s still suspects the server: %.2f", name, x)
