--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -66,7 +66,7 @@
 
 func (a actions) Probe(server string) { a.w.Begin("HEALTH_CHECK", a.i).ID("backend", server).End() }
 
-func (a actions) Tell(gateway int, data []byte) {
+func (a actions) SendToPeer(gateway int, data []byte) {
 	a.w.Begin("BROADCAST_TO", a.i).Int("addressee", int64(gateway)).Hex("data", data).End()
 }
 
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -30,7 +30,7 @@
 // Peers carries messages to other instances, which may be lost: to one, or to all of them with policy.Broadcast.
 // It must not block.
 type Peers interface {
-	Tell(instance int, data []byte)
+	SendToPeer(instance int, data []byte)
 }
 
 // Bounds of the queues into the loop.
@@ -432,9 +432,9 @@
 }
 func (l *effects) Probe(box string) { l.backend.Probe(box) }
 
-func (l *effects) Tell(instance int, data []byte) {
+func (l *effects) SendToPeer(instance int, data []byte) {
 	if l.peers != nil {
-		l.peers.Tell(instance, data)
+		l.peers.SendToPeer(instance, data)
 	}
 }
 
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -98,7 +98,7 @@
 	Cancel(a Attempt, box string)                                     // its answer will be ignored
 	Withdraw(a Attempt, box string)                                   // what was not written ends as policy.Moot, what was goes on
 	Probe(box string)
-	Tell(instance int, data []byte)
+	SendToPeer(instance int, data []byte)
 	Answered(c *Call)
 }
 
@@ -787,11 +787,11 @@
 	a.fx.Probe(server)
 }
 
-// Tell sends a message to another instance, or to all others.
-func (a *actions) Tell(gateway int, data []byte) {
+// SendToPeer sends a message to another instance, or to all others.
+func (a *actions) SendToPeer(gateway int, data []byte) {
 	if gateway == policy.Broadcast || gateway >= 0 && gateway < a.settings.Gateways && gateway != a.settings.Self {
 		a.counts.Told++
-		a.fx.Tell(gateway, data)
+		a.fx.SendToPeer(gateway, data)
 	}
 }
 
--- a/internal/core/machine_test.go
+++ b/internal/core/machine_test.go
@@ -57,7 +57,7 @@
 func (w *world) Cancel(a Attempt, box string) { w.cancelled[a] = true }
 func (w *world) Withdraw(a Attempt, _ string) { w.withdrawn[a] = true }
 func (w *world) Probe(box string)             { w.probes = append(w.probes, box) }
-func (w *world) Tell(int, []byte)             {}
+func (w *world) SendToPeer(int, []byte)       {}
 func (w *world) Answered(c *Call)             { w.answers[c] = append(w.answers[c], c.Answer) }
 
 func machine(t interface{ Fatal(...any) }, change func(*policy.Settings)) (*Machine, *world) {
@@ -386,7 +386,7 @@
 func (c *countingActions) Cancel(string, int)                     { c.n++ }
 func (c *countingActions) SetTimer(uint64, float64)               {}
 func (c *countingActions) Probe(string)                           {}
-func (c *countingActions) Tell(int, []byte)                       {}
+func (c *countingActions) SendToPeer(int, []byte)                 {}
 func (c *countingActions) Log(string)                             {}
 
 type discard struct{}
@@ -395,7 +395,7 @@
 func (discard) Cancel(Attempt, string)                      {}
 func (discard) Withdraw(Attempt, string)                    {}
 func (discard) Probe(string)                                {}
-func (discard) Tell(int, []byte)                            {}
+func (discard) SendToPeer(int, []byte)                      {}
 func (discard) Answered(*Call)                              {}
 
 // After a stall a call's time counts from when it may have been sent: what is over is refused and never sent.
--- a/internal/instance/measure_test.go
+++ b/internal/instance/measure_test.go
@@ -121,7 +121,7 @@
 func (silent) Cancel(string, int)                     {}
 func (silent) SetTimer(uint64, float64)               {}
 func (silent) Probe(string)                           {}
-func (silent) Tell(int, []byte)                       {}
+func (silent) SendToPeer(int, []byte)                 {}
 func (silent) Log(string)                             {}
 
 // pump keeps one connection busy with a command, so many to a write, and returns the answers a second of
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -132,12 +132,12 @@
 	return nil
 }
 
-// Tell sends a message to one instance, or to all others with policy.Broadcast; it never blocks.
-func (l *Link) Tell(instance int, data []byte) {
+// SendToPeer sends a message to one instance, or to all others with policy.Broadcast; it never blocks.
+func (l *Link) SendToPeer(instance int, data []byte) {
 	if instance == policy.Broadcast && l.all == nil {
 		for i := range l.addrs {
 			if i != l.me {
-				l.Tell(i, data)
+				l.SendToPeer(i, data)
 			}
 		}
 		return
--- a/policy/api.go
+++ b/policy/api.go
@@ -189,6 +189,6 @@
 	Cancel(id string, attempt int)
 	SetTimer(token uint64, delayS float64)
 	Probe(server string)
-	Tell(gateway int, data []byte)
+	SendToPeer(gateway int, data []byte)
 	Log(text string)
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -26,7 +26,7 @@
 func (in *ingress) SetTimer(token uint64, delayS float64) {}
 func (in *ingress) Probe(server string)                   {}
 func (in *ingress) Log(text string)                       { fmt.Printf("%s: %s\n", in.name, text) }
-func (in *ingress) Tell(gateway int, data []byte) {
+func (in *ingress) SendToPeer(gateway int, data []byte) {
 	in.out = append(in.out, data)
 }
 
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -537,7 +537,7 @@
 			b = appendItem(b, n, g.now)
 		}
 	}
-	g.act.Tell(to, b)
+	g.act.SendToPeer(to, b)
 }
 
 // unanswered looks after reports without a reply: they are told again, after a second silence to the
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -30,7 +30,7 @@
 }
 func (rec *recorder) SetTimer(uint64, float64) {}
 func (rec *recorder) Probe(s string)           { rec.acts = append(rec.acts, out{kind: "probe", server: s}) }
-func (rec *recorder) Tell(to int, b []byte) {
+func (rec *recorder) SendToPeer(to int, b []byte) {
 	rec.acts = append(rec.acts, out{kind: "tell", to: to, data: append([]byte(nil), b...)})
 }
 func (rec *recorder) Log(string) {}
