--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,9 +1,10 @@
 package policy
 
-// This is the decision module; its interface is in api.go. Every customer is hashed on a ring of
-// gateways to one owner, which alone keeps its window count against the whole quota. The others tell
-// the owner their counts in batches, pass only their split of the room it last reported, and fall back
-// to a local window when it is silent (docs/design.md tells what was kept and changed).
+// This file makes all decisions; api.go is its interface. Every customer is hashed onto a ring of
+// gateways. One gateway, the owner, counts the customer's window against the whole quota. The other
+// gateways (members) report their counts to the owner in batches, admit only their split of the
+// remaining units that the owner last reported, and fall back to a local window when the owner does
+// not respond. See docs/design.md.
 
 import (
 	"cmp"
@@ -13,977 +14,1064 @@
 	"slices"
 )
 
-// Constants, with their reasons. Times are in seconds.
+// The suffix S means seconds. A share is a fraction of 1.
 const (
-	ringPoints    = 512   // points a gateway, as in the post, but
-	ringMost      = 8192  // on the whole ring no more than about so many
-	batchS        = 0.1   // least time between reports to one owner: "a few times a second"
-	reportShare   = 0.45  // of peerIntake that a gateway's own reports may take
-	tellEarly     = 0.5   // of its even split of the room: let in by a member, it is told at once
-	holdShare     = 0.5   // of peerIntake that members refused by their owner may ask for again
-	freshS        = 0.5   // a verdict no older is split; with an older one the owner is asked
-	askWaitS      = 0.08  // how long a request waits for the owner's word before it is asked again
-	reportWaitS   = 0.3   // the same for reports with no request waiting
-	askTries      = 3     // then the local window decides
-	missMost      = 2     // a peer that leaves so many unanswered is silent: it leaves the ring
-	silentRetryS  = 1.0   // for so long
-	touchS        = 2.0   // a peer heard of so late is there
-	gapS          = 0.1   // no event for so long: this gateway itself stood still
-	stoodS        = 0.3   // and for so long: others may have turned to the next on the ring
-	poolMost      = 0.5   // of a ceiling, that grants of the first gateway on the ring are paid from, at most
-	anyIntake     = 1e6   // stands for no bound on it
-	lagS          = 0.05  // added to a verdict's age
-	windowMargin  = 0.2   // an ingress may stand still for 0.15 s between its clock and its write
-	demandTauS    = 1.5   // memory of what a customer asks for
-	cheapLeaves   = 0.18  // of the burst, that the cheapest work leaves to dearer work of its customer
-	memberS       = 10.0  // a member unheard of a customer for so long asks nothing of it
-	outS          = 3.0   // a member's attempts out are believed for so long
-	youngS        = 2.0   // a ledger younger than this believes the room that members hand back
-	forgetS       = 60.0  // customers unused for so long are forgotten
-	tickS         = 0.02  // how often queue and attempts are looked at
-	probeEveryS   = 1.0   // load probes, where load reports come with probes alone
-	probeShare    = 0.25  // probes a request, at most
-	startLimit    = 3.0   // attempts out at one server, all gateways together, to begin with
-	firstLat      = 0.15  // of its aim that a class is taken to need before it is known
-	maxLimit      = 64.0  // attempts out at one server, all gateways together, at most
-	growBy        = 0.1   // attempts that one fast answer adds to the limit
-	shrinkBy      = 0.03  // share of one server's limit that a slow one takes off
-	stretchHigh   = 0.22  // answers that take this share of their aim shrink a server's limit
-	stretchLow    = 0.15  // and below this one it may grow
-	minLimit      = 3.0   // and at least
-	lookLeast     = 2     // healthy servers looked at for a request, at least
-	lookAll       = 12    // gateways, up to which each looks at all servers
-	utilS         = 3.0   // a load report counts for so long
-	utilWeight    = 2.0   // attempts that a server's cores all busy stand for
-	partWeight    = 1.0   // of its part of the limit by its speed that a server may hold
-	crossWeight   = 25.0  // attempts out that the price of crossing zones stands for, a point of 1
-	againWeight   = 4.0   // the same for a server that the request was sent to before
-	sickTauS      = 4.0   // how long a sick server is shunned
-	sickWeight    = 30.0  // how far
-	errorSick     = 0.5   // how sick one error makes it
-	doubt         = 0.01  // that a server is sick, at first; each mean latency of silence raises it e-fold
-	wellNews      = 0.05  // a server held for so sick that answers is told of as well
-	hedgeSick     = 0.3   // attempts at servers so sick are tried elsewhere early
-	hedgeX        = 4.0   // and others after so many mean latencies
-	newsKept      = 64    // what servers were last heard of doing, to be told to other gateways
-	newsSent      = 6     // with each message
-	newsS         = 2.0   // while it is no older
-	newsStepS     = 0.2   // and so much newer than what is known already; also the least silence that tells
-	baseAfter     = 10    // good answers, after which the lowest mean latency stands for work that did not queue
-	utilLow       = 0.8   // cores less busy than this let a limit grow again
-	silentX       = 6.0   // a server that answers nothing for so many mean latencies is in doubt
-	patienceMin   = 10    // tries of a class before later ones are told from first ones
-	patienceBins  = 101   // shares of the deadline told apart
-	hedgeShare    = 0.4   // of the aim: an attempt in doubt this old is tried elsewhere
-	downS         = 0.5   // a server that refuses connections is left alone so long, then probed
-	timeoutWeight = 0.15  // how far one attempt that timed out moves a server's speed and limit
-	busyTauS      = 1.0   // memory of what this gateway keeps out at a server
-	guardS        = 0.004 // margin on deadlines
+	// Ring of gateways.
+	ringPointsPerGateway = 512
+	ringMaxPoints        = 8192 // approximate upper bound for the whole ring; limits the points per gateway
+
+	// Reports from members to owners.
+	reportIntervalS   = 0.1  // minimum time between two regular reports to the same owner
+	reportShare       = 0.45 // share of PeerMessagesPerS that a gateway's own reports may use
+	urgentReportShare = 0.5  // of its even split of what remains: a member that admits more reports at once
+	askAgainShare     = 0.5  // share of PeerMessagesPerS that may ask again after the owner has refused
+	freshReplyS       = 0.5  // a member splits a reply of at most this age; with an older one it asks again
+	askTimeoutS       = 0.08 // time after which the owner is asked again while requests wait for it
+	reportTimeoutS    = 0.3  // the same for reports without a waiting request
+	maxUnansweredAsks = 3    // after this many the local window decides
+
+	// Unresponsive peers, and pauses of this process.
+	maxUnansweredReports = 2   // unanswered reports after which a peer is silent and is skipped on the ring
+	silentPeerRetryS     = 1.0 // time for which it is skipped
+	peerContactS         = 2.0 // a peer that was heard from within this time is reachable
+	minPauseS            = 0.1 // without an event for so long, this gateway itself was paused
+	minTakeoverPauseS    = 0.3 // after so long a pause, peers may have used the next gateway on the ring
+
+	// Quotas, ledgers and keys.
+	maxReserveShare       = 0.5  // upper bound for the part of a ceiling that is reserved for grants
+	unlimitedMessagesPerS = 1e6  // stands for no limit of PeerMessagesPerS
+	replyLagS             = 0.05 // added to the age of a reply
+	keyWindowMarginS      = 0.2  // an ingress may be paused for 0.15 s between reading its clock and sending
+	demandDecayS          = 1.5  // time constant of the average demand of a customer
+	highValueShare        = 0.18 // of the burst, left by the lowest-value class to higher ones
+	memberActiveS         = 10.0 // a member that has not reported on a customer for so long has no demand
+	memberInFlightS       = 3.0  // a member's reported attempts in flight count for so long
+	youngLedgerS          = 2.0  // a ledger younger than this adopts the remaining units that members report
+	forgetAfterS          = 60.0 // customers that are unused for so long are removed
+
+	// Timer and load probes.
+	tickS            = 0.02 // interval at which the queue and the attempts are checked
+	probeIntervalS   = 1.0  // per server, where only probes carry load reports
+	probesPerRequest = 0.25 // upper bound
+
+	// Concurrency limit. The limits per server are sums over all gateways.
+	initialServerLimit  = 3.0  // attempts in flight per server
+	initialLatencyShare = 0.15 // share of its target that a class is assumed to need before its latency is known
+	maxServerLimit      = 64.0 // attempts in flight per server
+	limitIncrease       = 0.1  // attempts that one fast answer adds to the limit
+	limitDecreaseShare  = 0.03 // share of one server's limit that a slow answer removes
+	highQueueing        = 0.22 // the limit shrinks while answers queue for more than this share of their target
+	lowQueueing         = 0.15 // the limit may grow while they queue for less than this share
+	minServerLimit      = 3.0  // attempts in flight per server
+
+	// Choice of a server. Weights are in attempts in flight unless stated otherwise.
+	minCandidates      = 2    // healthy servers that are considered for a request, at least
+	allCandidatesFleet = 12   // a fleet of up to this many gateways considers all servers
+	utilFreshS         = 3.0  // a load report counts for so long
+	utilWeight         = 2.0  // of full utilization of a server's cores
+	serverShareWeight  = 1.0  // factor on a server's part of the limit, which is divided by its latency ratio
+	crossZoneWeight    = 25.0 // of a CrossZoneCost of 1
+	reusedServerWeight = 4.0  // of a server that the request was already sent to
+
+	// Suspicion of servers, and hedging of attempts.
+	suspicionDecayS     = 4.0  // time constant at which a suspicion decays
+	suspicionWeight     = 30.0 // factor on the squared suspicion in the cost of a server
+	errorSuspicion      = 0.5  // raised by one error
+	timeoutSuspicion    = 0.01 // raised by a timeout, e-fold with each mean latency up to errorSuspicion
+	recoveryGossipLevel = 0.05 // an answer of a server that is suspected more than this is gossiped
+	hedgeSuspicion      = 0.3  // attempts at servers that are suspected more than this are hedged early
+	hedgeLatencies      = 4.0  // other attempts are hedged after this many mean latencies
+
+	// Server updates passed between gateways (gossip).
+	maxGossipKept       = 64
+	maxGossipPerMessage = 6
+	maxGossipAgeS       = 2.0
+	gossipIntervalS     = 0.2 // minimum age difference of updates; also the shortest silence that counts
+
+	// Latency, silence and time left on arrival.
+	baseLatencyAnswers = 10    // answers after which the lowest mean latency counts as work that did not queue
+	lowUtil            = 0.8   // with cores less utilized than this the limit may grow
+	silentLatencies    = 6.0   // a server that answers nothing for so many mean latencies is suspected
+	minCommonArrivals  = 10    // requests of a class that must be known before client retries are recognized
+	deadlineBinCount   = 101   // histogram bins for the share of the deadline that is left on arrival
+	hedgeTargetShare   = 0.4   // share of the target latency before which no attempt is hedged
+	refusedPauseS      = 0.5   // a server that refuses connections is not used for this time at least
+	timeoutWeight      = 0.15  // weight of one timeout in a server's latency ratio and in the limit
+	loadDecayS         = 1.0   // time constant of the average load that this gateway puts on a server
+	deadlineMarginS    = 0.004 // an answer is awaited for this time at least
 )
 
-// New returns the gateway's decisions at its start. The list of servers follows through Servers.
-func New(s Settings, seed uint64, now float64, act Actions) (*Gateway, error) {
-	if act == nil {
+// New returns a gateway in its initial state. The list of servers is passed to Servers afterwards.
+func New(settings Settings, seed uint64, now float64, actions Actions) (*Gateway, error) {
+	if actions == nil {
 		return nil, errors.New("no actions given")
 	}
-	if err := s.Validate(); err != nil {
+	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
-	g := &Gateway{s: s, act: act, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), now: now, born: now,
-		classes: map[string]*class{}, byPlan: map[string]*plan{}, servers: map[string]*server{},
-		byHash: map[uint16]*server{}, reqs: map[string]*request{}, custs: map[uint32]*customer{},
-		peers: make([]peer, s.Gateways), warmAt: now}
-	g.boot = uint8(g.rng.Uint32())
-	for i := range g.peers {
-		g.peers[i].heardAt = math.Inf(-1)
-	}
-	g.tokens, g.tokensAt = 2, now
-	g.limit = startLimit / float64(s.Gateways) // for one server
-	g.s.PeerMessagesPerS = cmp.Or(max(s.PeerMessagesPerS, 0), anyIntake)
-	g.setUp(min(ringPoints, max(8, ringMost/s.Gateways)))
-	g.act.SetTimer(1, tickS)
-	return g, nil
+	gw := &Gateway{settings: settings, actions: actions, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
+		now: now, createdAt: now, classesByName: map[string]*classState{}, plansByName: map[string]*planState{},
+		servers: map[string]*trackedServer{}, serversByHash: map[uint16]*trackedServer{},
+		requests: map[string]*requestState{}, customers: map[uint32]*customerState{},
+		peers: make([]peerState, settings.Gateways), warmWorkRateAt: now}
+	gw.bootID = uint8(gw.rng.Uint32())
+	for i := range gw.peers {
+		gw.peers[i].heardAt = math.Inf(-1)
+	}
+	gw.reportTokens, gw.reportTokensAt = 2, now
+	gw.limit = initialServerLimit / float64(settings.Gateways) // for one server
+	gw.settings.PeerMessagesPerS = cmp.Or(max(settings.PeerMessagesPerS, 0), unlimitedMessagesPerS)
+	gw.buildTables(min(ringPointsPerGateway, max(8, ringMaxPoints/settings.Gateways)))
+	gw.actions.SetTimer(1, tickS)
+	return gw, nil
 }
 
-// newClass is a class as a gateway knows it at the start.
-func newClass(c Class, i int) *class {
-	return &class{Class: c, index: i, lat: firstLat * c.TargetLatencyS}
+// newClass returns the initial state of a class.
+func newClass(class Class, i int) *classState {
+	return &classState{Class: class, index: i, latencyS: initialLatencyShare * class.TargetLatencyS}
 }
 
-// newServer is a server as a gateway knows it when it is first listed.
-func newServer(g *Gateway) *server {
-	n := len(g.classList)
-	return &server{speed: 1, utilAt: math.Inf(-1), sick: make([]sick, n), okAt: make([]float64, n)}
+// newServer returns the initial state of a server when it is first listed.
+func newServer(gw *Gateway) *trackedServer {
+	n := len(gw.classes)
+	return &trackedServer{latencyRatio: 1, utilAt: math.Inf(-1), suspicions: make([]suspicion, n),
+		classOKAt: make([]float64, n)}
 }
 
-// newCustomer is a customer as a gateway knows it when it is first heard of: with a full window, but
-// an empty split of its ceiling, filling since this gateway's start.
-func (g *Gateway) newCustomer(key uint32, p *plan) *customer {
-	c := &customer{key: key, plan: p, prime: g.s.Self, room: p.Burst, roomAt: g.now, usedAt: g.now,
-		ceilAt: g.born, poolAt: g.born}
-	g.custs[key] = c
-	return c
+// newCustomer returns the initial state of a customer when it is first seen: its window is full, but its
+// split of the ceiling was empty when this gateway started and has been filling since.
+func (gw *Gateway) newCustomer(key uint32, plan *planState) *customerState {
+	customer := &customerState{key: key, plan: plan, primary: gw.settings.Self, remaining: plan.Burst,
+		remainingAt: gw.now, usedAt: gw.now, ceilingAt: gw.createdAt, reserveAt: gw.createdAt}
+	gw.customers[key] = customer
+	return customer
 }
 
-// ---- The path of a request ----
+// ---- Life of a request ----
 
-// Request takes a client's request.
-func (g *Gateway) Request(now float64, q Request) {
-	g.clock(now)
-	cls := g.classes[q.Class]
-	if g.reqs[q.ID] != nil {
+// Request handles the arrival of a client's request.
+func (gw *Gateway) Request(now float64, arrival Request) {
+	gw.advance(now)
+	class := gw.classesByName[arrival.Class]
+	if gw.requests[arrival.ID] != nil {
 		return
-	} else if cls == nil {
-		g.act.Fail(q.ID)
+	} else if class == nil {
+		gw.actions.Fail(arrival.ID)
 		return
 	}
-	r := &request{Request: q, cls: cls, plan: g.byPlan[q.Plan], home: g.servers[q.HomeServer],
-		ran: g.servers[q.EarlierServer], ranAt: q.EarlierSentAt}
-	r.aimAt = now + cls.TargetLatencyS + cls.TargetLatencyStretch*cls.lat
-	if cls.laterTry(q.DeadlineAt - now) {
-		r.aimAt = min(r.aimAt, q.DeadlineAt-cls.DeadlineS+cls.TargetLatencyS+cls.TargetLatencyStretch*cls.lat)
-	}
-	r.aimAt = min(r.aimAt, q.DeadlineAt)
-	price := 1.0
-	if r.plan != nil {
-		price, r.cust = r.plan.ValueFactor, g.customer(q)
-		g.asked(r.cust, q.Units)
-	}
-	if r.aimAt < now+cls.lat {
-		price *= cls.LateValueShare
-	}
-	r.prio = cls.Value * price // units stand for work as well as for worth, and cancel out
-	r.cheap = 1 - cls.Value/max(g.maxWorth, 1e-9)
-	g.probes = min(g.probes+probeShare, 2)
-	g.reqs[q.ID] = r
-	g.live = append(g.live, r)
-	v := pass
-	if r.cust != nil {
-		v = g.inQuota(r)
+	request := &requestState{Request: arrival, class: class, plan: gw.plansByName[arrival.Plan],
+		home: gw.servers[arrival.HomeServer], ranOn: gw.servers[arrival.EarlierServer],
+		ranAt: arrival.EarlierSentAt}
+	request.targetAt = now + class.TargetLatencyS + class.TargetLatencyStretch*class.latencyS
+	if class.isClientRetry(arrival.DeadlineAt - now) {
+		request.targetAt = min(request.targetAt,
+			arrival.DeadlineAt-class.DeadlineS+class.TargetLatencyS+class.TargetLatencyStretch*class.latencyS)
+	}
+	request.targetAt = min(request.targetAt, arrival.DeadlineAt)
+	factor := 1.0
+	if request.plan != nil {
+		factor, request.customer = request.plan.ValueFactor, gw.customerOf(arrival)
+		gw.countDemand(request.customer, arrival.Units)
+	}
+	if request.targetAt < now+class.latencyS {
+		factor *= class.LateValueShare
+	}
+	// Units measure both the work and the value of a request, so they cancel out.
+	request.priority = class.Value * factor
+	request.valueDeficit = 1 - class.Value/max(gw.maxClassValue, 1e-9)
+	gw.probeTokens = min(gw.probeTokens+probesPerRequest, 2)
+	gw.requests[arrival.ID] = request
+	gw.liveRequests = append(gw.liveRequests, request)
+	decision := allow
+	if request.customer != nil {
+		decision = gw.decideQuota(request)
 	}
 	switch {
-	case v == deny:
-		g.refuse(r, OverQuota)
-	case !g.mayRetry(r): // a client's late try can arrive with no time left at all
-		g.refuse(r, OutOfTime)
-	case v == wait:
-		g.ask(r)
+	case decision == deny:
+		gw.refuse(request, OverQuota)
+	case !gw.mayAttempt(request): // a client retry can arrive with no time left at all
+		gw.refuse(request, OutOfTime)
+	case decision == askOwner:
+		gw.awaitOwner(request)
 	default:
-		g.take(r, false)
-		g.place(r)
-	}
-}
-
-// laterTry tells a client's later try from a first one. First tries of a class all have the same time,
-// the commonest; a later one has what is left of its first try's deadline. Guards against answers that
-// come too late to count; it would harm where clients draw their patience for each try.
-func (c *class) laterTry(left float64) bool {
-	bin := c.came(left)
-	return c.times[c.usual] > patienceMin && max(bin-c.usual, c.usual-bin) > 1
-}
-
-// place sends the request on, or queues it when no server has room. One that asks for units alone
-// ends here, and what it took stays taken.
-func (g *Gateway) place(r *request) {
-	if r.QuotaOnly {
-		r.taken = false
-		g.act.Admit(r.ID)
-		g.over(r)
-	} else if !g.mayRetry(r) {
-		g.refuse(r, g.whyNoRetry(r))
-	} else if s := g.choose(r); s != nil {
-		g.send(r, s)
+		gw.admit(request, false)
+		gw.dispatch(request)
+	}
+}
+
+// isClientRetry reports whether a request is a client's retry rather than its first request. First
+// requests of a class all arrive with the same time left, the most common one; a retry arrives with
+// what is left of the deadline of the first request. This avoids answers that come too late to count.
+// It would be wrong for clients that choose a new deadline for each request.
+func (class *classState) isClientRetry(left float64) bool {
+	bin := class.countArrival(left)
+	return class.arrivals[class.commonBin] > minCommonArrivals &&
+		max(bin-class.commonBin, class.commonBin-bin) > 1
+}
+
+// dispatch sends the request to a server, or queues it when no server has capacity. A request for units
+// only ends here, and keeps the units that were charged.
+func (gw *Gateway) dispatch(request *requestState) {
+	if request.QuotaOnly {
+		request.charged = false
+		gw.actions.Admit(request.ID)
+		gw.finish(request)
+	} else if !gw.mayAttempt(request) {
+		gw.refuse(request, gw.whyNoAttempt(request))
+	} else if server := gw.chooseServer(request); server != nil {
+		gw.send(request, server)
 	} else {
-		g.queue = append(g.queue, r)
+		gw.queue = append(gw.queue, request)
 	}
 }
 
-func (g *Gateway) send(r *request, s *server) {
-	s.busy = s.busy*math.Exp((s.sentAt-g.now)/busyTauS) + min(s.speed*r.cls.lat/busyTauS, 1)
-	g.begin(r, s)
-	if g.coldShare(s) < 1 {
-		s.sentLog = append(s.sentLog, sentWork{g.now, r.cls.lat})
+func (gw *Gateway) send(request *requestState, server *trackedServer) {
+	server.recentLoad = server.recentLoad*math.Exp((server.lastSentAt-gw.now)/loadDecayS) +
+		min(server.latencyRatio*request.class.latencyS/loadDecayS, 1)
+	gw.beginAttempt(request, server)
+	if gw.capacityShare(server) < 1 {
+		server.coldSends = append(server.coldSends, sentWork{gw.now, request.class.latencyS})
 	} else {
-		g.warmRate += r.cls.lat / (demandTauS * float64(max(1, len(g.order))))
+		gw.warmWorkRate += request.class.latencyS / (demandDecayS * float64(max(1, len(gw.listed))))
 	}
-	answer := max(r.endAt()-g.now, guardS)
-	g.act.Send(r.ID, s.ID, Timing{StartWithinS: min(answer, g.repeatWindow(r)), AnswerWithinS: answer})
+	answer := max(request.giveUpAt()-gw.now, deadlineMarginS)
+	gw.actions.Send(request.ID, server.ID,
+		Timing{StartWithinS: min(answer, gw.repeatWindowS(request)), AnswerWithinS: answer})
 }
 
-// refuse ends the request with the mildest answer that is true.
-func (g *Gateway) refuse(r *request, why Refusal) {
-	if r.over {
+// refuse ends the request: as safe to retry if it cannot have been executed or a repeat does no harm,
+// and as failed otherwise.
+func (gw *Gateway) refuse(request *requestState, why Refusal) {
+	if request.answered {
 		return
 	}
-	may := r.ran != nil || r.out > 0
-	if may && (r.cls.Effect == Unsafe || r.cls.Effect == Keyed && r.cls.KeyScope != ScopeAll) {
-		g.act.Fail(r.ID)
+	mayHaveRun := request.ranOn != nil || request.inFlight > 0
+	if mayHaveRun && (request.class.Effect == Unsafe ||
+		request.class.Effect == Keyed && request.class.KeyScope != ScopeAll) {
+		gw.actions.Fail(request.ID)
 	} else {
-		g.act.Refuse(r.ID, g.s.MaxRetryAfterS, why)
+		gw.actions.Refuse(request.ID, gw.settings.MaxRetryAfterS, why)
 	}
-	for i := range r.attempts {
-		if a := &r.attempts[i]; g.s.Cancel && !a.done && !a.called {
-			a.called = true
-			g.act.Cancel(r.ID, i)
+	for i := range request.attempts {
+		if attempt := &request.attempts[i]; gw.settings.Cancel && !attempt.ended && !attempt.cancelled {
+			attempt.cancelled = true
+			gw.actions.Cancel(request.ID, i)
 		}
 	}
-	g.over(r)
+	gw.finish(request)
 }
 
-// Outcome takes the end of an attempt.
-func (g *Gateway) Outcome(now float64, o Outcome) {
-	g.clock(now)
-	r, a := g.ended(o)
-	if r == nil {
+// Outcome handles the end of an attempt.
+func (gw *Gateway) Outcome(now float64, outcome Outcome) {
+	gw.advance(now)
+	request, attempt := gw.endAttempt(outcome)
+	if request == nil {
 		return
 	}
-	g.report(a.srv, o.Load)
-	g.learn(r, a, o)
-	if never := o.Status == Rejected || o.Status == ConnectFailed || o.Status == NotSent; !never && r.ran == nil {
-		r.ran, r.ranAt = a.srv, a.sentAt
+	gw.applyLoad(attempt.server, outcome.Load)
+	gw.learn(request, attempt, outcome)
+	if notRun := outcome.Status == Rejected || outcome.Status == ConnectFailed ||
+		outcome.Status == NotSent; !notRun && request.ranOn == nil {
+		request.ranOn, request.ranAt = attempt.server, attempt.sentAt
 	}
-	if o.Status == OK && g.s.UnitsFromAnswer && r.taken && o.Units > 0 {
-		g.charge(r.cust, o.Units-r.Units)
+	if outcome.Status == OK && gw.settings.UnitsFromAnswer && request.charged && outcome.Units > 0 {
+		gw.charge(request.customer, outcome.Units-request.Units)
 	}
-	if r.over || o.RequestEnded || o.Status == OK {
-		g.over(r)
-	} else if r.out == 0 && !r.stream {
-		g.place(r)
+	if request.answered || outcome.RequestEnded || outcome.Status == OK {
+		gw.finish(request)
+	} else if request.inFlight == 0 && !request.streaming {
+		gw.dispatch(request)
 	}
-	g.drain()
+	gw.drainQueue()
 }
 
-// endAt is when an answer is no longer worth the servers' work: after the aim, for
-// the share of the time left in which it still earns something.
-func (r *request) endAt() float64 { return r.aimAt + r.cls.LateValueShare*max(r.DeadlineAt-r.aimAt, 0) }
+// giveUpAt is the time from which an answer is not worth the servers' work any more. After the target,
+// it allows the share of the remaining time that corresponds to the value that a late answer earns.
+func (request *requestState) giveUpAt() float64 {
+	return request.targetAt + request.class.LateValueShare*max(request.DeadlineAt-request.targetAt, 0)
+}
 
-// mayRetry tells whether another attempt is allowed and worth it.
-func (g *Gateway) mayRetry(r *request) bool {
-	if len(r.attempts) >= max(1, g.s.MaxAttempts) || g.now+r.cls.lat > r.endAt() {
+// mayAttempt reports whether one more attempt is allowed, and likely to be answered in time.
+func (gw *Gateway) mayAttempt(request *requestState) bool {
+	if len(request.attempts) >= max(1, gw.settings.MaxAttempts) ||
+		gw.now+request.class.latencyS > request.giveUpAt() {
 		return false
 	}
-	return r.ran == nil || r.cls.Effect == Safe || r.cls.Effect == Keyed && g.repeatWindow(r) >= 0
+	return request.ranOn == nil || request.class.Effect == Safe ||
+		request.class.Effect == Keyed && gw.repeatWindowS(request) >= 0
 }
 
-// repeatWindow is for how long servers still drop a repeat of the request: a repeat has to begin by then.
-func (g *Gateway) repeatWindow(r *request) float64 {
-	if r.cls.Effect != Keyed || r.ran == nil {
+// repeatWindowS is the time for which servers still drop a repeat of the request. A repeat must begin
+// within it.
+func (gw *Gateway) repeatWindowS(request *requestState) float64 {
+	if request.class.Effect != Keyed || request.ranOn == nil {
 		return math.Inf(1)
 	}
-	return r.ranAt + r.cls.KeyTTLS - windowMargin - g.now
+	return request.ranAt + request.class.KeyTTLS - keyWindowMarginS - gw.now
 }
 
-// whyNoRetry is the reason for which mayRetry says no.
-func (g *Gateway) whyNoRetry(r *request) Refusal {
-	if g.now+r.cls.lat > r.endAt() {
+// whyNoAttempt is the reason for which mayAttempt returned false.
+func (gw *Gateway) whyNoAttempt(request *requestState) Refusal {
+	if gw.now+request.class.latencyS > request.giveUpAt() {
 		return OutOfTime
 	}
 	return AttemptsUsed
 }
 
-// drain sends what waits, dearest per work first, and drops what can't make its aim.
-func (g *Gateway) drain() {
-	if len(g.queue) == 0 {
+// drainQueue sends queued requests in the order of their value per work, and refuses those that cannot
+// meet their target any more.
+func (gw *Gateway) drainQueue() {
+	if len(gw.queue) == 0 {
 		return
 	}
-	slices.SortStableFunc(g.queue, func(a, b *request) int { return cmp.Compare(b.prio, a.prio) })
-	g.queue = slices.DeleteFunc(g.queue, func(r *request) bool {
-		if !r.over && g.now+r.cls.lat <= r.aimAt && g.mayRetry(r) {
-			s := g.choose(r)
-			if s != nil {
-				g.send(r, s)
+	slices.SortStableFunc(gw.queue, func(a, b *requestState) int { return cmp.Compare(b.priority, a.priority) })
+	gw.queue = slices.DeleteFunc(gw.queue, func(request *requestState) bool {
+		if !request.answered && gw.now+request.class.latencyS <= request.targetAt && gw.mayAttempt(request) {
+			server := gw.chooseServer(request)
+			if server != nil {
+				gw.send(request, server)
 			}
-			return s != nil
+			return server != nil
 		}
-		g.refuse(r, NoServer)
+		gw.refuse(request, NoServer)
 		return true
 	})
 }
 
-// Timer takes a timer: all work that no event brings.
-func (g *Gateway) Timer(now float64, token uint64) {
-	g.clock(now)
+// Timer handles the expiry of a timer. It does all work that is not triggered by another event.
+func (gw *Gateway) Timer(now float64, token uint64) {
+	gw.advance(now)
 	if token != 1 {
 		return
 	}
-	g.act.SetTimer(1, tickS)
-	g.drain()
-	g.watch()
-	g.probe()
-	g.unanswered()
-	g.flush()
-	if now > g.sweepAt {
-		g.sweepAt = now + forgetS/4
-		g.forget(forgetS)
+	gw.actions.SetTimer(1, tickS)
+	gw.drainQueue()
+	gw.checkAttempts()
+	gw.sendProbe()
+	gw.checkUnanswered()
+	gw.flushReports()
+	if now > gw.nextCleanupAt {
+		gw.nextCleanupAt = now + forgetAfterS/4
+		gw.forgetUnused(forgetAfterS)
 	}
 }
 
-// ---- Quotas and the exchange with owners ----
+// ---- Quotas and the messages between members and owners ----
 
-// alive tells that a peer answers: reports in a row without one take it off the ring for a while.
-func (g *Gateway) alive(gw int) bool {
-	p := &g.peers[gw]
-	return gw == g.s.Self || p.missed < missMost || g.now-p.missAt > silentRetryS
+// isResponsive reports whether a peer answers. Several unanswered reports in a row remove it from the
+// ring for a while.
+func (gw *Gateway) isResponsive(gateway int) bool {
+	peer := &gw.peers[gateway]
+	return gateway == gw.settings.Self || peer.unanswered < maxUnansweredReports ||
+		gw.now-peer.unansweredAt > silentPeerRetryS
 }
 
-// owner is the gateway that counts the customer.
-func (g *Gateway) owner(c *customer) int {
+// ownerOf returns the gateway that counts the customer's units.
+func (gw *Gateway) ownerOf(customer *customerState) int {
 	switch {
-	case !g.s.PeerMessages || c.entries == 1:
-		return g.s.Self
-	case c.entries == 0 || g.alive(c.prime):
-		return c.prime
-	}
-	return g.walk(c, true)
-}
-
-// inQuota decides on the ordinary path: the owner by its count, a member by its split of the room it
-// last heard. Where that can't tell, since the split is under one request or the news is old, the
-// request waits for the owner's word, which is the post's own call.
-func (g *Gateway) inQuota(r *request) verdict {
-	c, p := r.cust, r.plan
-	if g.owner(c) == g.s.Self && g.fits(g.ledger(c), c, r.Units, r.cheap) &&
-		(g.ceilingHolds(c, r.Units) || g.poolHolds(c, r.Units)) {
-		return pass
-	} else if g.owner(c) == g.s.Self {
+	case !gw.settings.PeerMessages || customer.gatewayCount == 1:
+		return gw.settings.Self
+	case customer.gatewayCount == 0 || gw.isResponsive(customer.primary):
+		return customer.primary
+	}
+	return gw.ringWalk(customer, true)
+}
+
+// decideQuota decides on a request when it arrives. The owner uses its count; a member uses its split
+// of the remaining units that it last received. A member cannot decide when its split is smaller than
+// one request or the last reply is too old: the request then waits for the owner's reply.
+func (gw *Gateway) decideQuota(request *requestState) quotaDecision {
+	customer, plan := request.customer, request.plan
+	if gw.ownerOf(customer) == gw.settings.Self &&
+		gw.ownerFits(gw.ledgerOf(customer), customer, request.Units, request.valueDeficit) &&
+		(gw.ceilingFits(customer, request.Units) || gw.reserveFits(customer, request.Units)) {
+		return allow
+	} else if gw.ownerOf(customer) == gw.settings.Self {
 		return deny
 	}
-	room, age, mine := g.roomNow(c), g.now-c.roomAt, g.demandNow(c)
+	remaining, age, ownDemand :=
+		gw.memberRemaining(customer), gw.now-customer.remainingAt, gw.currentDemand(customer)
 	switch {
-	case len(c.asks) > 0:
-		return wait
-	case g.now < c.holdTill:
+	case len(customer.awaitingOwner) > 0:
+		return askOwner
+	case gw.now < customer.refuseUntil:
 		return deny
-	case p.MaxParallel > 0 && (age > freshS || c.out+c.othersOut+1 >= p.MaxParallel), !g.ceilingHolds(c, r.Units):
-		return wait
-	}
-	need, used := r.Units, max(c.total-c.acked, 0) // used: let in here since the owner took anything in
-	if mine+c.others > p.Rate {
-		need += r.cheap * cheapLeaves * p.Burst
-	}
-	switch old := !c.known || age > freshS; {
-	case p.Rate == 0:
-		return pass
-	case old && (need+used)*float64(c.entries) <= used+min(room, room-(c.others-p.Rate)*age):
-		return pass // each of the customer's gateways may think the same at this moment
-	case !old && need+used <= max((room+used)*mine/max(mine+c.others, 1e-9), room+used-2*c.others*(age+lagS)):
-		return pass
-	case r.Units > room && age < batchS:
+	case plan.MaxParallel > 0 && (age > freshReplyS ||
+		customer.inFlight+customer.othersInFlight+1 >= plan.MaxParallel), !gw.ceilingFits(customer, request.Units):
+		return askOwner
+	}
+	// used: units admitted here that the owner has not acknowledged yet
+	need, used := request.Units, max(customer.admitted-customer.acked, 0)
+	if ownDemand+customer.othersDemand > plan.Rate {
+		need += request.valueDeficit * highValueShare * plan.Burst
+	}
+	switch stale := !customer.remainingKnown || age > freshReplyS; {
+	case plan.Rate == 0:
+		return allow
+	case stale && (need+used)*float64(customer.gatewayCount) <=
+		used+min(remaining, remaining-(customer.othersDemand-plan.Rate)*age):
+		return allow // holds even if all of the customer's gateways decide the same at this moment
+	case !stale && need+used <= max((remaining+used)*ownDemand/max(ownDemand+customer.othersDemand, 1e-9),
+		remaining+used-2*customer.othersDemand*(age+replyLagS)):
+		return allow
+	case request.Units > remaining && age < reportIntervalS:
 		return deny
 	}
-	return wait
+	return askOwner
 }
 
-// fits tells whether the owner's count has room. While the customer asks for more than its rate, the
-// cheaper a class is a unit, the more room it must leave to dearer ones.
-func (g *Gateway) fits(l *ledger, c *customer, units, cheap float64) bool {
-	p := c.plan
-	if p.MaxParallel > 0 && c.out+l.outs(g.now, -1) >= p.MaxParallel {
+// ownerFits reports whether the owner's count allows the units. While the customer's demand exceeds its
+// rate, a request of a class of lower value must leave more units to classes of higher value.
+func (gw *Gateway) ownerFits(ledger *quotaLedger, customer *customerState, units, valueDeficit float64) bool {
+	plan := customer.plan
+	if plan.MaxParallel > 0 && customer.inFlight+ledger.inFlightExcept(gw.now, -1) >= plan.MaxParallel {
 		return false
-	} else if p.Rate == 0 {
+	} else if plan.Rate == 0 {
 		return true
 	}
-	if g.demandNow(c)+l.demandNow(g.now) > p.Rate {
-		units += cheap * cheapLeaves * p.Burst
+	if gw.currentDemand(customer)+ledger.currentDemand(gw.now) > plan.Rate {
+		units += valueDeficit * highValueShare * plan.Burst
 	}
-	return units <= l.room
+	return units <= ledger.remaining
 }
 
-// inTouch tells that most others were heard of late: whoever is silent is gone, and not this gateway.
-func (g *Gateway) inTouch() bool {
+// hearsMostPeers reports whether most peers were heard from recently. If so, a silent peer is down, and
+// this gateway is not partitioned from the fleet.
+func (gw *Gateway) hearsMostPeers() bool {
 	n := 0
-	for i := range g.peers {
-		if i != g.s.Self && g.now-g.peers[i].heardAt < touchS {
+	for i := range gw.peers {
+		if i != gw.settings.Self && gw.now-gw.peers[i].heardAt < peerContactS {
 			n++
 		}
 	}
-	return 2*n >= g.s.Gateways-1 && n > 0
+	return 2*n >= gw.settings.Gateways-1 && n > 0
 }
 
-// ledger brings the owner's count up to now. The window opens evenly; for a stand-in that nobody has
-// reported to and that hears few others, by its part alone: it may be cut off while others serve the
-// customer. It stays shut while this gateway itself stood still.
-func (g *Gateway) ledger(c *customer) *ledger {
-	if c.led == nil {
-		c.led = &ledger{room: g.roomNow(c), at: g.now, born: g.now, members: map[int]*member{}}
-	}
-	l, rate := c.led, c.plan.Rate
-	if c.prime != g.s.Self && len(l.members) == 0 && !g.inTouch() {
-		rate /= float64(c.entries)
-	}
-	open := g.now - l.at
-	if g.s.PeerMessages && c.entries != 1 && l.at < g.stoodAt { // others counted meanwhile, and will tell
-		open = max(open-g.stoodFor, 0)
-	}
-	l.room, l.at = min(c.plan.Burst, l.room+rate*open), g.now
-	return l
+// ledgerOf returns the owner's count, brought up to the present. Units accrue at the plan's rate. For a
+// stand-in that no member has reported to and that hears few peers they accrue only at its own part of
+// the rate, as it may be partitioned while others serve the customer. None accrue for the time in which
+// this gateway was paused.
+func (gw *Gateway) ledgerOf(customer *customerState) *quotaLedger {
+	if customer.ledger == nil {
+		customer.ledger = &quotaLedger{remaining: gw.memberRemaining(customer), updatedAt: gw.now,
+			createdAt: gw.now, members: map[int]*memberState{}}
+	}
+	ledger, rate := customer.ledger, customer.plan.Rate
+	if customer.primary != gw.settings.Self && len(ledger.members) == 0 && !gw.hearsMostPeers() {
+		rate /= float64(customer.gatewayCount)
+	}
+	elapsed := gw.now - ledger.updatedAt
+	if gw.settings.PeerMessages && customer.gatewayCount != 1 && ledger.updatedAt < gw.takeoverPauseEndedAt {
+		elapsed = max(elapsed-gw.takeoverPauseS, 0) // others counted meanwhile, and will report
+	}
+	ledger.remaining, ledger.updatedAt = min(customer.plan.Burst, ledger.remaining+rate*elapsed), gw.now
+	return ledger
 }
 
-// take charges a first send to quota and ceiling when it is let in.
-func (g *Gateway) take(r *request, paid bool) {
-	c := r.cust
-	if c == nil {
+// admit charges an admitted request to quota and ceiling. For a prepaid request the owner has already
+// charged the ceiling's reserve.
+func (gw *Gateway) admit(request *requestState, prepaid bool) {
+	customer := request.customer
+	if customer == nil {
 		return
 	}
 	switch {
-	case paid:
-	case g.ceilingHolds(c, r.Units):
-		c.ceil -= r.Units
+	case prepaid:
+	case gw.ceilingFits(customer, request.Units):
+		customer.ceilingUnits -= request.Units
 	default:
-		c.pool -= r.Units
+		customer.reserveUnits -= request.Units
 	}
-	r.taken = true
-	g.charge(c, r.Units)
+	request.charged = true
+	gw.charge(customer, request.Units)
 }
 
-func (g *Gateway) charge(c *customer, units float64) {
-	if g.owner(c) == g.s.Self {
-		l := g.ledger(c)
-		l.room = max(l.room-units, min(l.room, 0))
-	}
-	c.total += units
-	if c.total > c.acked || units < 0 {
-		// A sudden burst is told at once: each gateway would pass a batch of it on the same old room.
-		urgent := g.owner(c) != g.s.Self && c.waitFrom == 0 && // nothing told is unanswered
-			c.total-c.acked > tellEarly*g.roomNow(c)/float64(max(1, c.entries))
-		if g.note(c, urgent); urgent {
-			g.flush()
+func (gw *Gateway) charge(customer *customerState, units float64) {
+	if gw.ownerOf(customer) == gw.settings.Self {
+		ledger := gw.ledgerOf(customer)
+		ledger.remaining = max(ledger.remaining-units, min(ledger.remaining, 0))
+	}
+	customer.admitted += units
+	if customer.admitted > customer.acked || units < 0 {
+		// A sudden burst is reported at once: otherwise each gateway would admit a batch of it from the
+		// same outdated remaining units.
+		urgent := gw.ownerOf(customer) != gw.settings.Self && customer.unansweredSince == 0 &&
+			customer.admitted-customer.acked >
+				urgentReportShare*gw.memberRemaining(customer)/float64(max(1, customer.gatewayCount))
+		if gw.markForReport(customer, urgent); urgent {
+			gw.flushReports()
 		}
 	}
 }
 
-// note marks the customer for the next report to its owner.
-func (g *Gateway) note(c *customer, urgent bool) {
-	o := g.owner(c)
-	if o == g.s.Self {
-		c.acked = c.total
+// markForReport includes the customer in the next report to its owner.
+func (gw *Gateway) markForReport(customer *customerState, urgent bool) {
+	owner := gw.ownerOf(customer)
+	if owner == gw.settings.Self {
+		customer.acked = customer.admitted
 		return
 	}
-	if !c.dirty || c.askOf != o {
-		g.due(c, o)
+	if !customer.reportDue || customer.reportTo != owner {
+		gw.scheduleReport(customer, owner)
 	}
-	g.peers[o].urgent = g.peers[o].urgent || urgent
+	gw.peers[owner].urgent = gw.peers[owner].urgent || urgent
 }
 
-// ask holds the request until its customer's owner has spoken.
-func (g *Gateway) ask(r *request) {
-	c := r.cust
-	c.asks, r.asking = append(c.asks, r), true
-	if len(c.asks) > 1 {
-		return // it joins the next report
-	}
-	c.tries, c.waitFrom = 0, g.now
-	g.expect(c)
-	g.note(c, true)
-	g.flush()
+// awaitOwner holds the request until the customer's owner has replied.
+func (gw *Gateway) awaitOwner(request *requestState) {
+	customer := request.customer
+	customer.awaitingOwner, request.awaitsOwner = append(customer.awaitingOwner, request), true
+	if len(customer.awaitingOwner) > 1 {
+		return // it is included in the next report
+	}
+	customer.timeouts, customer.unansweredSince = 0, gw.now
+	gw.awaitReply(customer)
+	gw.markForReport(customer, true)
+	gw.flushReports()
 }
 
-// flush sends what is due to peers. All hear about as much as all send, so each gateway keeps its own
-// reports to a share of what one takes in; answers come on top.
-func (g *Gateway) flush() {
-	share := g.s.PeerMessagesPerS * reportShare
-	g.tokens = min(max(2, share*batchS*2), g.tokens+share*(g.now-g.tokensAt))
-	g.tokensAt = g.now
-	g.pending = slices.DeleteFunc(g.pending, func(i int) bool {
-		p := &g.peers[i]
-		if p.urgent && g.tokens >= 1 || g.tokens >= 2 && g.now-p.toldAt >= batchS {
-			g.tokens--
-			g.tell(i)
+// flushReports sends the reports that are due. Each gateway receives about as many reports as it sends,
+// so it keeps its own reports to a share of what one can receive. Replies come on top.
+func (gw *Gateway) flushReports() {
+	share := gw.settings.PeerMessagesPerS * reportShare
+	gw.reportTokens = min(max(2, share*reportIntervalS*2), gw.reportTokens+share*(gw.now-gw.reportTokensAt))
+	gw.reportTokensAt = gw.now
+	gw.peersDue = slices.DeleteFunc(gw.peersDue, func(i int) bool {
+		peer := &gw.peers[i]
+		if peer.urgent && gw.reportTokens >= 1 ||
+			gw.reportTokens >= 2 && gw.now-peer.reportedAt >= reportIntervalS {
+			gw.reportTokens--
+			gw.sendReports(i)
 		}
-		p.pending = len(p.reports) > 0
-		return !p.pending
+		peer.listed = len(peer.reports) > 0
+		return !peer.listed
 	})
 }
 
-// tell reports to a peer as owner.
-func (g *Gateway) tell(i int) {
-	p, n := &g.peers[i], 0
-	b := g.header()
-	for _, c := range p.reports {
-		if len(b)+msgRecord > msgLimit {
+// sendReports reports to a peer about the customers that it owns.
+func (gw *Gateway) sendReports(gateway int) {
+	peer, n := &gw.peers[gateway], 0
+	b := gw.newMessage()
+	for _, customer := range peer.reports {
+		if len(b)+msgRecordBytes > msgMaxBytes {
 			break
 		}
-		if n++; c.askOf != i || !c.dirty {
+		if n++; customer.reportTo != gateway || !customer.reportDue {
 			continue
 		}
-		c.dirty = false
-		r := record{Key: c.key, Plan: c.plan.index, Known: c.known, Flag: i == c.prime, Total: c.total,
-			Room: g.roomNow(c), Rate: g.demandNow(c), Out: c.out, Unacked: max(c.total-c.acked, 0)}
-		c.asked = len(c.asks)
-		for k, q := range c.asks {
-			if r.Want += q.Units; k == 0 {
-				r.First, r.Cheap = q.Units, q.cheap
+		customer.reportDue = false
+		rec := quotaRecord{Key: customer.key, PlanIndex: customer.plan.index,
+			RemainingKnown: customer.remainingKnown, FromReserve: gateway == customer.primary,
+			Total: customer.admitted, Remaining: gw.memberRemaining(customer),
+			DemandRate: gw.currentDemand(customer), InFlight: customer.inFlight,
+			Unacked: max(customer.admitted-customer.acked, 0)}
+		customer.reportedAwaiting = len(customer.awaitingOwner)
+		for k, request := range customer.awaitingOwner {
+			if rec.Requested += request.Units; k == 0 {
+				rec.FirstRequested, rec.ValueDeficit = request.Units, request.valueDeficit
 			}
 		}
-		b = appendRecord(b, r)
-		if c.waitFrom == 0 || c.asked > 0 {
-			c.waitFrom = g.now
+		b = appendRecord(b, rec)
+		if customer.unansweredSince == 0 || customer.reportedAwaiting > 0 {
+			customer.unansweredSince = gw.now
 		}
-		g.expect(c)
+		gw.awaitReply(customer)
 	}
-	p.reports = slices.Delete(p.reports, 0, n)
-	p.toldAt, p.urgent = g.now, p.urgent && len(p.reports) > 0
-	g.post(i, b)
+	peer.reports = slices.Delete(peer.reports, 0, n)
+	peer.reportedAt, peer.urgent = gw.now, peer.urgent && len(peer.reports) > 0
+	gw.sendToPeer(gateway, b)
 }
 
-// post sends a message with records, and with what is new of servers in the room left.
-func (g *Gateway) post(to int, b []byte) {
-	if len(b) == msgHeader {
+// sendToPeer sends a message with quota records, and fills its free space with recent server updates.
+func (gw *Gateway) sendToPeer(gateway int, b []byte) {
+	if len(b) == msgHeaderBytes {
 		return
 	}
-	b[msgCount] = byte((len(b) - msgHeader) / msgRecord)
-	for i := len(g.news) - 1; i >= max(0, len(g.news)-newsSent) && len(b)+msgItem <= msgLimit; i-- {
-		if n := g.news[i]; g.now-n.at < newsS {
-			b = appendItem(b, n, g.now)
+	b[msgCountOffset] = byte((len(b) - msgHeaderBytes) / msgRecordBytes)
+	for i := len(gw.gossip) - 1; i >= max(0, len(gw.gossip)-maxGossipPerMessage) &&
+		len(b)+msgUpdateBytes <= msgMaxBytes; i-- {
+		if update := gw.gossip[i]; gw.now-update.at < maxGossipAgeS {
+			b = appendServerUpdate(b, update, gw.now)
 		}
 	}
-	g.act.SendToPeer(to, b)
+	gw.actions.SendToPeer(gateway, b)
 }
 
-// unanswered looks after reports without a reply: they are told again, after a second silence to the
-// next on the ring, and after a third the request falls back to the local window. A gap in this
-// gateway's own time is nobody's silence.
-func (g *Gateway) unanswered() {
-	for _, c := range g.waiting {
-		most := reportWaitS
-		if len(c.asks) > 0 {
-			most = askWaitS
+// checkUnanswered handles reports without a reply. They are sent again; after a second timeout they go
+// to the next gateway on the ring, and after a third one the local window decides. While this gateway
+// itself was paused, no peer counts as silent.
+func (gw *Gateway) checkUnanswered() {
+	for _, customer := range gw.awaitingReply {
+		timeout := reportTimeoutS
+		if len(customer.awaitingOwner) > 0 {
+			timeout = askTimeoutS
 		}
-		if c.waitFrom > 0 && g.now-max(c.waitFrom, g.gapAt) > most {
-			if !c.dirty { // it was told
-				p := &g.peers[c.askOf]
-				p.missed, p.missAt = p.missed+1, g.now
+		if customer.unansweredSince > 0 && gw.now-max(customer.unansweredSince, gw.pauseEndedAt) > timeout {
+			if !customer.reportDue { // the report was sent
+				peer := &gw.peers[customer.reportTo]
+				peer.unanswered, peer.unansweredAt = peer.unanswered+1, gw.now
 			}
-			c.tries++
-			c.waitFrom, c.asked = 0, 0
-			if c.tries >= askTries {
-				c.tries = 0
-				g.resolve(c, len(c.asks), func(r *request) bool { return g.localHolds(c, r.Units) }, false)
+			customer.timeouts++
+			customer.unansweredSince, customer.reportedAwaiting = 0, 0
+			if customer.timeouts >= maxUnansweredAsks {
+				customer.timeouts = 0
+				gw.resolve(customer, len(customer.awaitingOwner),
+					func(request *requestState) bool { return gw.localWindowFits(customer, request.Units) }, false)
 			} else {
-				g.note(c, len(c.asks) > 0)
-				if len(c.asks) > 0 {
-					c.waitFrom = g.now
+				gw.markForReport(customer, len(customer.awaitingOwner) > 0)
+				if len(customer.awaitingOwner) > 0 {
+					customer.unansweredSince = gw.now
 				}
 			}
 		}
-		c.waiting = c.waitFrom > 0
+		customer.listed = customer.unansweredSince > 0
 	}
-	g.waiting = slices.DeleteFunc(g.waiting, func(c *customer) bool { return !c.waiting })
+	gw.awaitingReply = slices.DeleteFunc(gw.awaitingReply,
+		func(customer *customerState) bool { return !customer.listed })
 }
 
-// localHolds is the local window, where no owner answers: this gateway's count alone, and its part
-// of the rate alone, as the others may go on serving the same customer.
-func (g *Gateway) localHolds(c *customer, units float64) bool {
-	p, n := c.plan, float64(c.entries)
-	if p.MaxParallel > 0 && c.out+c.othersOut >= p.MaxParallel {
+// localWindowFits decides when no owner replies, by the count of this gateway alone. Only its part of
+// the rate is used, as the other gateways may go on serving the same customer.
+func (gw *Gateway) localWindowFits(customer *customerState, units float64) bool {
+	plan, n := customer.plan, float64(customer.gatewayCount)
+	if plan.MaxParallel > 0 && customer.inFlight+customer.othersInFlight >= plan.MaxParallel {
 		return false
 	}
-	c.local = min(max(p.Burst/n, float64(g.s.MaxUnits)), c.local+p.Rate/n*(g.now-c.localAt))
-	c.localAt = g.now
-	if p.Rate > 0 && units > min(c.local, g.roomNow(c)) {
+	customer.localUnits = min(max(plan.Burst/n, float64(gw.settings.MaxUnits)),
+		customer.localUnits+plan.Rate/n*(gw.now-customer.localAt))
+	customer.localAt = gw.now
+	if plan.Rate > 0 && units > min(customer.localUnits, gw.memberRemaining(customer)) {
 		return false
 	}
-	c.local -= units
+	customer.localUnits -= units
 	return true
 }
 
-// resolve ends the wait of the first n requests that asked.
-func (g *Gateway) resolve(c *customer, n int, ok func(*request) bool, paid bool) {
-	list := c.asks[:n]
-	c.asks = slices.Clone(c.asks[n:])
-	for _, r := range list {
-		switch r.asking = false; {
-		case r.over:
-		case ok(r) && (paid || g.ceilingHolds(c, r.Units)):
-			g.take(r, paid)
-			g.place(r)
+// resolve decides on the first n requests that wait for the owner.
+func (gw *Gateway) resolve(customer *customerState, n int, fits func(*requestState) bool, prepaid bool) {
+	resolved := customer.awaitingOwner[:n]
+	customer.awaitingOwner = slices.Clone(customer.awaitingOwner[n:])
+	for _, request := range resolved {
+		switch request.awaitsOwner = false; {
+		case request.answered:
+		case fits(request) && (prepaid || gw.ceilingFits(customer, request.Units)):
+			gw.admit(request, prepaid)
+			gw.dispatch(request)
 		default:
-			g.refuse(r, OverQuota)
+			gw.refuse(request, OverQuota)
 		}
 	}
 }
 
-// PeerMessage takes a message of another gateway. Reports are answered at once, all in one message.
-func (g *Gateway) PeerMessage(now float64, from int, data []byte) {
-	g.clock(now)
-	boot, seq, recs, items, ok := parseMessage(data, now)
-	if !ok || from < 0 || from >= len(g.peers) || from == g.s.Self {
+// PeerMessage handles a message of another gateway. All reports in it are answered at once, in one
+// message.
+func (gw *Gateway) PeerMessage(now float64, from int, data []byte) {
+	gw.advance(now)
+	bootID, seq, recs, updates, ok := parseMessage(data, now)
+	if !ok || from < 0 || from >= len(gw.peers) || from == gw.settings.Self {
 		return
 	}
-	p := &g.peers[from]
-	if p.late(boot, seq) {
+	peer := &gw.peers[from]
+	if peer.isStale(bootID, seq) {
 		return
 	}
-	p.missed, p.heardAt = 0, now
-	g.inRate, g.inAt = g.inRate*math.Exp(g.inAt-now)+1, now
-	for _, n := range items {
-		g.told(n)
+	peer.unanswered, peer.heardAt = 0, now
+	gw.messageRate, gw.messageRateAt = gw.messageRate*math.Exp(gw.messageRateAt-now)+1, now
+	for _, update := range updates {
+		gw.applyUpdate(update)
 	}
-	b := g.header()
-	for _, r := range recs {
-		c := g.custs[r.Key]
+	b := gw.newMessage()
+	for _, rec := range recs {
+		customer := gw.customers[rec.Key]
 		switch {
-		case r.Plan >= len(g.plans):
-		case r.Owner && c != nil && c.askOf == from:
-			g.heard(c, r)
-		case !r.Owner:
-			if c == nil {
-				c = g.newCustomer(r.Key, g.plans[r.Plan])
+		case rec.PlanIndex >= len(gw.plans):
+		case rec.FromOwner && customer != nil && customer.reportTo == from:
+			gw.applyOwnerReply(customer, rec)
+		case !rec.FromOwner:
+			if customer == nil {
+				customer = gw.newCustomer(rec.Key, gw.plans[rec.PlanIndex])
 			}
-			c.usedAt = now
-			b = appendRecord(b, g.count(c, from, r))
+			customer.usedAt = now
+			b = appendRecord(b, gw.answerReport(customer, from, rec))
 		}
 	}
-	g.post(from, b)
-	g.flush()
+	gw.sendToPeer(from, b)
+	gw.flushReports()
 }
 
-// count takes in a member's report and gives the owner's answer. Units that are asked for are set
-// aside at once: the next report shows which of them were used.
-func (g *Gateway) count(c *customer, from int, r record) record {
-	l := g.ledger(c)
-	m := l.members[from]
-	if m == nil || m.boot != g.peers[from].boot {
-		if r.Known && g.now-l.born < youngS {
-			// A young count, after a restart or a move: the member hands back what it heard.
-			l.room = min(l.room, max(r.Room+r.Unacked, 0))
+// answerReport applies a member's report and returns the owner's reply. Requested units that are granted
+// are reserved at once; the member's next report shows which of them it used.
+func (gw *Gateway) answerReport(customer *customerState, from int, rec quotaRecord) quotaRecord {
+	ledger := gw.ledgerOf(customer)
+	member := ledger.members[from]
+	if member == nil || member.bootID != gw.peers[from].bootID {
+		if rec.RemainingKnown && gw.now-ledger.createdAt < youngLedgerS {
+			// After a restart or a change of the owner, the ledger is restored from what members received.
+			ledger.remaining = min(ledger.remaining, max(rec.Remaining+rec.Unacked, 0))
 		}
-		m = &member{boot: g.peers[from].boot, total: r.Total - r.Unacked}
-		l.members[from] = m
+		member = &memberState{bootID: gw.peers[from].bootID, total: rec.Total - rec.Unacked}
+		ledger.members[from] = member
 	}
-	l.room = max(l.room-l.told(m, r, g.now), min(l.room, 0))
-	v := record{Key: c.key, Plan: c.plan.index, Owner: true, Known: true}
-	if r.Want > 0 {
+	ledger.remaining = max(ledger.remaining-ledger.applyReport(member, rec, gw.now), min(ledger.remaining, 0))
+	reply := quotaRecord{Key: customer.key, PlanIndex: customer.plan.index, FromOwner: true,
+		RemainingKnown: true}
+	if rec.Requested > 0 {
 		grant := 0.0
-		for _, w := range []float64{r.Want, r.First} {
-			if c.plan.MaxParallel > 0 {
-				w = r.First
+		for _, units := range []float64{rec.Requested, rec.FirstRequested} {
+			if customer.plan.MaxParallel > 0 {
+				units = rec.FirstRequested
 			}
-			if g.fits(l, c, w, r.Cheap) {
-				grant = w
+			if gw.ownerFits(ledger, customer, units, rec.ValueDeficit) {
+				grant = units
 				break
 			}
 		}
 		if grant > 0 {
-			l.room -= grant
-			m.total += grant
-			m.out++
-			if v.Flag = r.Flag && g.poolHolds(c, grant); v.Flag {
-				c.pool -= grant
+			ledger.remaining -= grant
+			member.total += grant
+			member.inFlight++
+			if reply.FromReserve = rec.FromReserve && gw.reserveFits(customer, grant); reply.FromReserve {
+				customer.reserveUnits -= grant
 			}
 		} else {
-			busy := g.s.PeerMessagesPerS * holdShare
-			v.Hold = float64(l.heard(g.now)) / max(busy, 1) * min(g.inRate/max(busy, 1), 3)
+			budget := gw.settings.PeerMessagesPerS * askAgainShare
+			reply.RetryAfterS = float64(ledger.activeMembers(gw.now)) / max(budget, 1) *
+				min(gw.messageRate/max(budget, 1), 3)
 		}
-		v.Want = r.Want
+		reply.Requested = rec.Requested
 	}
-	v.Total, v.Room, v.Out = m.total, l.room, c.out+l.outs(g.now, from)
-	v.Rate = max(l.demandNow(g.now)-m.rate, 0) + g.demandNow(c)
-	return v
+	reply.Total, reply.Remaining, reply.InFlight =
+		member.total, ledger.remaining, customer.inFlight+ledger.inFlightExcept(gw.now, from)
+	reply.DemandRate = max(ledger.currentDemand(gw.now)-member.demandRate, 0) + gw.currentDemand(customer)
+	return reply
 }
 
-// heard takes in what the owner says.
-func (g *Gateway) heard(c *customer, r record) {
-	most := c.total + quarters(r.Total-c.total)
-	c.known, c.room, c.roomAt, c.acked = true, r.Room, g.now, most
-	c.others, c.othersOut = r.Rate, r.Out
-	if r.Want > 0 && c.asked > 0 {
-		n := min(c.asked, len(c.asks))
-		c.asked, c.tries, c.holdTill = 0, 0, g.now+r.Hold
-		g.resolve(c, n, func(q *request) bool { return c.total+q.Units <= most+1e-9 }, r.Flag)
-		if r.Hold > 0 {
-			g.resolve(c, len(c.asks), func(*request) bool { return false }, false)
+// applyOwnerReply applies the owner's reply to a report.
+func (gw *Gateway) applyOwnerReply(customer *customerState, rec quotaRecord) {
+	granted := customer.admitted + wrappedDifference(rec.Total-customer.admitted)
+	customer.remainingKnown, customer.remaining, customer.remainingAt, customer.acked =
+		true, rec.Remaining, gw.now, granted
+	customer.othersDemand, customer.othersInFlight = rec.DemandRate, rec.InFlight
+	if rec.Requested > 0 && customer.reportedAwaiting > 0 {
+		n := min(customer.reportedAwaiting, len(customer.awaitingOwner))
+		customer.reportedAwaiting, customer.timeouts, customer.refuseUntil = 0, 0, gw.now+rec.RetryAfterS
+		gw.resolve(customer, n,
+			func(request *requestState) bool { return customer.admitted+request.Units <= granted+1e-9 },
+			rec.FromReserve)
+		if rec.RetryAfterS > 0 {
+			gw.resolve(customer, len(customer.awaitingOwner), func(*requestState) bool { return false }, false)
 		}
 	}
-	if c.acked = min(most, c.total); most > c.total || len(c.asks) > 0 && c.asked == 0 {
-		g.note(c, len(c.asks) > 0)
+	if customer.acked = min(granted, customer.admitted); granted > customer.admitted ||
+		len(customer.awaitingOwner) > 0 && customer.reportedAwaiting == 0 {
+		gw.markForReport(customer, len(customer.awaitingOwner) > 0)
 	}
-	if len(c.asks) == 0 {
-		c.waitFrom, c.tries = 0, 0
-	} else if c.asked == 0 {
-		c.waitFrom = g.now
-		g.expect(c)
+	if len(customer.awaitingOwner) == 0 {
+		customer.unansweredSince, customer.timeouts = 0, 0
+	} else if customer.reportedAwaiting == 0 {
+		customer.unansweredSince = gw.now
+		gw.awaitReply(customer)
 	}
 }
 
-// poolPart is the part of a plan's ceiling that a customer's first gateway on the ring keeps for grants: so
-// much that one gateway alone can serve the whole quota with it and its own split, and no more, as nobody has
-// it while that first one is away. All gateways find the same part, whoever is silent.
-func poolPart(p Plan, gateways int) float64 {
+// reserveShareOf returns the share of a plan's ceiling that the primary of a customer, its first gateway
+// on the ring, keeps as a reserve for grants. With it and its own split one gateway alone can serve the
+// whole quota. It is no larger, as nobody can use it while the primary is away. All gateways compute the
+// same share, whichever peers are silent.
+func reserveShareOf(plan Plan, gateways int) float64 {
 	if gateways < 2 {
-		return poolMost
+		return maxReserveShare
 	}
 	even := 1 / float64(gateways)
-	need := max(p.Rate/max(p.CeilingRate, 1e-9), p.Burst/max(p.CeilingBurst, 1e-9))
-	return min(max((need-even)/(1-even), 0), poolMost)
+	need := max(plan.Rate/max(plan.CeilingRate, 1e-9), plan.Burst/max(plan.CeilingBurst, 1e-9))
+	return min(max((need-even)/(1-even), 0), maxReserveShare)
 }
 
-// ceilingHolds brings this gateway's fixed split of its part of the ceiling up to now and tells whether
-// units fit. A split starts empty, as a restarted gateway may just have spent its own.
-func (g *Gateway) ceilingHolds(c *customer, units float64) bool {
-	p, n := c.plan, float64(max(c.entries, 1))
-	if p.CeilingRate <= 0 {
+// ceilingFits brings this gateway's fixed split of the ceiling up to the present and reports whether it
+// covers the units. A split starts empty, as a restarted gateway may just have used up its own.
+func (gw *Gateway) ceilingFits(customer *customerState, units float64) bool {
+	plan, n := customer.plan, float64(max(customer.gatewayCount, 1))
+	if plan.CeilingRate <= 0 {
 		return true
 	}
-	part := (1 - p.pool) / n
-	c.ceil = min(p.CeilingBurst*part, c.ceil+p.CeilingRate*part*(g.now-c.ceilAt))
-	c.ceilAt = g.now
-	return units <= c.ceil
+	part := (1 - plan.reserveShare) / n
+	customer.ceilingUnits = min(plan.CeilingBurst*part,
+		customer.ceilingUnits+plan.CeilingRate*part*(gw.now-customer.ceilingAt))
+	customer.ceilingAt = gw.now
+	return units <= customer.ceilingUnits
 }
 
-// poolHolds does so for the other part, which the first gateway on the customer's ring pays grants from.
-// It is the same one for all, whoever is silent, so the parts add up whatever is lost or restarted.
-func (g *Gateway) poolHolds(c *customer, units float64) bool {
-	if c.prime != g.s.Self || c.plan.CeilingRate <= 0 {
+// reserveFits does the same for the reserve, from which the customer's primary pays grants. The reserve
+// does not depend on which peers are silent, so the parts of a ceiling add up through any message loss
+// or restart.
+func (gw *Gateway) reserveFits(customer *customerState, units float64) bool {
+	if customer.primary != gw.settings.Self || customer.plan.CeilingRate <= 0 {
 		return false
 	}
-	p := c.plan
-	c.pool = min(p.CeilingBurst*p.pool, c.pool+p.CeilingRate*p.pool*(g.now-c.poolAt))
-	c.poolAt = g.now
-	return units <= c.pool
+	plan := customer.plan
+	customer.reserveUnits = min(plan.CeilingBurst*plan.reserveShare,
+		customer.reserveUnits+plan.CeilingRate*plan.reserveShare*(gw.now-customer.reserveAt))
+	customer.reserveAt = gw.now
+	return units <= customer.reserveUnits
 }
 
 // ---- Servers ----
 
-// Servers takes the list of servers, whole or only what changed.
-func (g *Gateway) Servers(now float64, list []Server, whole bool) {
-	g.clock(now)
-	before := float64(max(1, len(g.order)))
-	g.list(list, whole, func(s *server) {
-		s.speed, s.downUntil = 1, 0
-		clear(s.sick)
+// Servers handles a list of servers: the whole list, or only the entries that changed.
+func (gw *Gateway) Servers(now float64, list []Server, whole bool) {
+	gw.advance(now)
+	before := float64(max(1, len(gw.listed)))
+	gw.updateServers(list, whole, func(server *trackedServer) {
+		server.latencyRatio, server.downUntil = 1, 0
+		clear(server.suspicions)
 	})
-	g.part = float64(len(g.order)) / float64(g.s.Gateways)
-	g.limit *= float64(max(1, len(g.order))) / before
-	g.drain()
+	gw.serversPerGateway = float64(len(gw.listed)) / float64(gw.settings.Gateways)
+	gw.limit *= float64(max(1, len(gw.listed))) / before
+	gw.drainQueue()
 }
 
-// slowStart holds a cold server to its share of what a warm one is sent, over any window in which it
-// could fall. A gateway's part of that is no whole number of requests, and often under one: it is rounded
-// up or down once a window, by a draw that is spread evenly over the gateways, so that the sum holds.
-func (g *Gateway) slowStart(s *server, work float64) bool {
-	share := g.coldShare(s)
+// slowStartAllows limits a cold server to its share of what a warm one is sent, over any window in which
+// it could be overloaded. A gateway's part of that budget is not a whole number of requests, and often
+// less than one. It is rounded up or down once per window by a draw that is spread evenly over the
+// gateways, so that the sum over the fleet stays within the budget.
+func (gw *Gateway) slowStartAllows(server *trackedServer, workS float64) bool {
+	share := gw.capacityShare(server)
 	if share >= 1 {
-		s.sentLog = nil
+		server.coldSends = nil
 		return true
 	}
-	sum := s.sentWithin(g.now, g.s.OverloadWindowS)
-	budget := share * g.warmRate * g.s.OverloadWindowS
-	return s.inflight < 2 && sum+work*g.slowStartDraw(s) <= budget
+	sum := server.workSentWithin(gw.now, gw.settings.OverloadWindowS)
+	budget := share * gw.warmWorkRate * gw.settings.OverloadWindowS
+	return server.inFlight < 2 && sum+workS*gw.slowStartDraw(server) <= budget
 }
 
-// full tells that as much is out as may be. A part of one that is free is rounded up while answers
-// are fast, and makes a pause while they are slow: many gateways that round up drive servers hard.
-func (g *Gateway) full(r *request) bool {
-	free := g.limit - float64(g.out)
-	part := free < 1 && g.stretch >= stretchHigh
-	return free <= 0 || part && g.now-g.sentAt < max(r.cls.lat, g.spent)/free
+// atLimit reports whether the concurrency limit is reached. When less than one attempt is free, it is
+// rounded up to one while answers are fast. While they are slow, attempts are spaced out instead: many
+// gateways that round up would overload the servers.
+func (gw *Gateway) atLimit(request *requestState) bool {
+	free := gw.limit - float64(gw.inFlight)
+	spaced := free < 1 && gw.queueing >= highQueueing
+	return free <= 0 || spaced && gw.now-gw.lastSentAt < max(request.class.latencyS, gw.meanElapsedS)/free
 }
 
-// choose picks the server for the request's next attempt, nil if none has room.
-func (g *Gateway) choose(r *request) *server {
-	var best *server
-	low := math.Inf(1)
-	if g.full(r) {
+// chooseServer returns the server for the request's next attempt, or nil if none has capacity.
+func (gw *Gateway) chooseServer(request *requestState) *trackedServer {
+	var best *trackedServer
+	lowest := math.Inf(1)
+	if gw.atLimit(request) {
 		return nil
 	}
-	// With many gateways each looks at a few servers only: all would pick the same one by the same news.
-	n := len(g.order)
-	look, from := max(lookLeast, n*lookAll/g.s.Gateways), g.rng.IntN(max(1, n))
-	for k := 0; k < n && look > 0; k++ {
-		s := g.order[(from+k)%n]
-		if s.State != Up || g.now < s.downUntil || !g.slowStart(s, r.cls.lat) ||
-			float64(s.inflight) >= math.Ceil(partWeight*g.limit/float64(n)/s.speed) ||
-			r.ran != nil && r.cls.Effect == Keyed && !sameGroup(r.cls.KeyScope, r.ran, s) ||
-			r.home != nil && !sameGroup(r.cls.KeyScope, r.home, s) {
+	// In a large fleet each gateway considers a few servers only: otherwise all gateways would pick the
+	// same server on the same load reports.
+	n := len(gw.listed)
+	candidates, start := max(minCandidates, n*allCandidatesFleet/gw.settings.Gateways), gw.rng.IntN(max(1, n))
+	for k := 0; k < n && candidates > 0; k++ {
+		server := gw.listed[(start+k)%n]
+		if server.State != Up || gw.now < server.downUntil ||
+			!gw.slowStartAllows(server, request.class.latencyS) ||
+			float64(server.inFlight) >= math.Ceil(serverShareWeight*gw.limit/float64(n)/server.latencyRatio) ||
+			request.ranOn != nil && request.class.Effect == Keyed &&
+				!sameKeyGroup(request.class.KeyScope, request.ranOn, server) ||
+			request.home != nil && !sameKeyGroup(request.class.KeyScope, request.home, server) {
 			continue
 		}
-		// What the others have there is unseen: the best guess is that each sends as this one does.
-		load := float64(s.inflight) + 1 + float64(g.s.Gateways-1)*s.busy*math.Exp((s.sentAt-g.now)/busyTauS)
-		if s.Zone != g.s.Zone {
-			load += crossWeight * g.s.CrossZoneCost
+		// What other gateways have in flight there is unknown: it is estimated as if each of them sent
+		// as much as this one.
+		load := float64(server.inFlight) + 1 + float64(gw.settings.Gateways-1)*
+			server.recentLoad*math.Exp((server.lastSentAt-gw.now)/loadDecayS)
+		if server.Zone != gw.settings.Zone {
+			load += crossZoneWeight * gw.settings.CrossZoneCost
 		}
-		if g.now-s.utilAt < utilS {
-			load += utilWeight * s.util
+		if gw.now-server.utilAt < utilFreshS {
+			load += utilWeight * server.util
 		}
-		for i := range r.attempts {
-			if r.attempts[i].srv == s {
-				load += againWeight
+		for i := range request.attempts {
+			if request.attempts[i].server == server {
+				load += reusedServerWeight
 			}
 		}
-		ill := g.sickness(s, r.cls)
-		if ill < hedgeSick {
-			look--
+		suspected := gw.suspicionOf(server, request.class)
+		if suspected < hedgeSuspicion {
+			candidates--
 		}
-		cost := load * s.speed * (1 + sickWeight*ill*ill) * (1 + 0.02*g.rng.Float64())
-		if cost < low {
-			best, low = s, cost
+		cost := load * server.latencyRatio * (1 + suspicionWeight*suspected*suspected) *
+			(1 + 0.02*gw.rng.Float64())
+		if cost < lowest {
+			best, lowest = server, cost
 		}
 	}
 	return best
 }
 
-// fails raises the sickness of a server for a class, or for all where c is nil.
-func (g *Gateway) fails(s *server, c *class, by float64) {
-	for _, k := range g.classList {
-		if c == nil || k == c {
-			x := g.sickness(s, k)
-			s.sick[k.index] = sick{x + by*(1-x), g.now}
-			g.spread(item{s.hash, k.index, s.sick[k.index].level, g.now})
+// suspect raises the suspicion of a server for a class, or for all classes where class is nil.
+func (gw *Gateway) suspect(server *trackedServer, class *classState, by float64) {
+	for _, affected := range gw.classes {
+		if class == nil || affected == class {
+			level := gw.suspicionOf(server, affected)
+			server.suspicions[affected.index] = suspicion{level + by*(1-level), gw.now}
+			gw.queueUpdate(serverUpdate{server.hash, affected.index,
+				server.suspicions[affected.index].level, gw.now})
 		}
 	}
 }
 
-// told takes in what another gateway tells of a server, and tells it on while it is new.
-func (g *Gateway) told(n item) {
-	s := g.byHash[n.server]
-	if s == nil || s.StartedAt > n.at {
+// applyUpdate applies what another gateway reports about a server, and passes it on while it is new.
+func (gw *Gateway) applyUpdate(update serverUpdate) {
+	server := gw.serversByHash[update.serverHash]
+	if server == nil || server.StartedAt > update.at {
 		return
 	}
-	if n.class == loadItem {
-		if n.at < s.utilAt+newsStepS {
+	if update.class == loadUpdate {
+		if update.at < server.utilAt+gossipIntervalS {
 			return
 		}
-		s.util, s.utilAt = n.value, n.at
-	} else if n.class < len(s.sick) {
-		k := &s.sick[n.class]
-		if n.at < k.at+newsStepS || n.at < s.okAt[n.class] {
+		server.util, server.utilAt = update.value, update.at
+	} else if update.class < len(server.suspicions) {
+		known := &server.suspicions[update.class]
+		if update.at < known.at+gossipIntervalS || update.at < server.classOKAt[update.class] {
 			return
 		}
-		*k = sick{n.value, n.at}
+		*known = suspicion{update.value, update.at}
 	}
-	g.spread(n)
+	gw.queueUpdate(update)
 }
 
-// learn takes from an attempt's end what it tells of the server.
-func (g *Gateway) learn(r *request, a *attempt, o Outcome) {
-	s, c := a.srv, r.cls
-	tells := o.Status == OK || o.Status == Timeout && g.sickness(s, c) < hedgeSick // of the others too
-	slow := min(o.ElapsedS/c.lat, 4)
-	switch o.Status {
+// learn updates what is known of the server, the class and the limit from the end of an attempt.
+func (gw *Gateway) learn(request *requestState, attempt *attemptState, outcome Outcome) {
+	server, class := attempt.server, request.class
+	// Answers, and timeouts of servers that are not suspected, also reflect the load of all servers.
+	general := outcome.Status == OK ||
+		outcome.Status == Timeout && gw.suspicionOf(server, class) < hedgeSuspicion
+	ratio := min(outcome.ElapsedS/class.latencyS, 4)
+	switch outcome.Status {
 	case OK:
-		if g.sickness(s, c) > wellNews { // the others hold it for sick by the same news
-			g.spread(item{s.hash, c.index, 0, g.now})
+		if gw.suspicionOf(server, class) > recoveryGossipLevel { // peers suspect it by the same updates
+			gw.queueUpdate(serverUpdate{server.hash, class.index, 0, gw.now})
 		}
-		s.okAt[c.index], s.sick[c.index], s.goodAt = g.now, sick{0, g.now}, g.now
-		c.n++
-		c.lat += (o.ElapsedS - c.lat) * max(0.02, 1/float64(c.n+1))
-		if c.n == baseAfter || c.n > baseAfter && c.lat < c.base {
-			c.base = c.lat
+		server.classOKAt[class.index], server.suspicions[class.index], server.lastOKAt =
+			gw.now, suspicion{0, gw.now}, gw.now
+		class.answers++
+		class.latencyS += (outcome.ElapsedS - class.latencyS) * max(0.02, 1/float64(class.answers+1))
+		if class.answers == baseLatencyAnswers ||
+			class.answers > baseLatencyAnswers && class.latencyS < class.baseLatencyS {
+			class.baseLatencyS = class.latencyS
 		}
-		s.speed = max(s.speed+0.1*(slow-s.speed), 0.3)
+		server.latencyRatio = max(server.latencyRatio+0.1*(ratio-server.latencyRatio), 0.3)
 	case Timeout, Error:
-		by := errorSick
-		if o.Status == Timeout { // given up soon it tells little: a well server may still be at work on it
-			by = min(by, doubt*math.Exp(o.ElapsedS/c.lat))
+		by := errorSuspicion
+		if outcome.Status == Timeout { // after a short wait, a healthy server may still be at work
+			by = min(by, timeoutSuspicion*math.Exp(outcome.ElapsedS/class.latencyS))
 		}
-		if g.fails(s, c, by); o.Status == Timeout {
-			s.speed += timeoutWeight * max(4-s.speed, 0) // slow, if not silent
+		if gw.suspect(server, class, by); outcome.Status == Timeout {
+			server.latencyRatio += timeoutWeight * max(4-server.latencyRatio, 0) // slow, if not unresponsive
 		}
 	case ConnectFailed, Reset:
-		alone := o.Status == Reset && s.brokeAt <= s.goodAt
-		if s.brokeAt = g.now; alone {
-			break // one broken connection tells of itself; a second without an answer in between, of the server
+		single := outcome.Status == Reset && server.lastBrokenAt <= server.lastOKAt
+		if server.lastBrokenAt = gw.now; single {
+			break // only a second broken connection without an answer in between implicates the server
 		}
-		g.fails(s, nil, errorSick)
-		s.downUntil = g.now + downS*(1+g.rng.Float64())
+		gw.suspect(server, nil, errorSuspicion)
+		server.downUntil = gw.now + refusedPauseS*(1+gw.rng.Float64())
 	}
-	if !tells {
+	if !general {
 		return
 	}
-	g.spent += 0.1 * (o.ElapsedS - g.spent)
-	g.stretch += 0.1 * (max(o.ElapsedS-c.base, 0)/c.TargetLatencyS - g.stretch)
-	util, fresh := g.meanUtil()
-	easy := fresh && util < utilLow    // cores are free: not driven too hard
-	step := min(1, startLimit/g.limit) // one answer tells of one server among those in use
-	if o.Status == Timeout && !easy {
-		g.limit *= 1 - timeoutWeight*step
-	}
-	if g.stretch > stretchHigh && !easy {
-		g.limit *= 1 - shrinkBy*step
-	} else if (easy || g.stretch < stretchLow) && float64(g.out)+1.5 >= g.limit {
-		g.limit += growBy * min(1, g.limit)
-	}
-	g.limit = min(max(g.limit, minLimit*g.part), maxLimit*g.part)
-}
-
-// watch looks at the attempts that are out: a server that leaves a class unanswered for long is sick
-// for it, and what waits is tried elsewhere where allowed.
-func (g *Gateway) watch() {
-	g.live = slices.DeleteFunc(g.live, func(r *request) bool { return r.over && r.out == 0 })
-	for _, r := range g.live {
-		if r.asking && g.now+tickS > r.endAt()-r.cls.lat {
-			g.refuse(r, OwnerSilent)
+	gw.meanElapsedS += 0.1 * (outcome.ElapsedS - gw.meanElapsedS)
+	gw.queueing += 0.1 * (max(outcome.ElapsedS-class.baseLatencyS, 0)/class.TargetLatencyS - gw.queueing)
+	util, fresh := gw.meanUtil()
+	idleCores := fresh && util < lowUtil        // the servers are not overloaded
+	step := min(1, initialServerLimit/gw.limit) // one answer tells about one of the servers in use
+	if outcome.Status == Timeout && !idleCores {
+		gw.limit *= 1 - timeoutWeight*step
+	}
+	if gw.queueing > highQueueing && !idleCores {
+		gw.limit *= 1 - limitDecreaseShare*step
+	} else if (idleCores || gw.queueing < lowQueueing) && float64(gw.inFlight)+1.5 >= gw.limit {
+		gw.limit += limitIncrease * min(1, gw.limit)
+	}
+	gw.limit = min(max(gw.limit, minServerLimit*gw.serversPerGateway), maxServerLimit*gw.serversPerGateway)
+}
+
+// checkAttempts looks at the attempts in flight. A server that leaves a class unanswered for long is
+// suspected for it, and its attempts are hedged at another server where that is allowed.
+func (gw *Gateway) checkAttempts() {
+	gw.liveRequests = slices.DeleteFunc(gw.liveRequests,
+		func(request *requestState) bool { return request.answered && request.inFlight == 0 })
+	for _, request := range gw.liveRequests {
+		if request.awaitsOwner && gw.now+tickS > request.giveUpAt()-request.class.latencyS {
+			gw.refuse(request, OwnerSilent)
 			continue
 		}
-		for i := range r.attempts {
-			a := &r.attempts[i]
-			if !a.done && !a.seen && g.now-max(a.sentAt, g.gapAt) > max(silentX*r.cls.lat, newsStepS) &&
-				a.srv.okAt[r.cls.index] < a.sentAt {
-				a.seen = true
-				g.fails(a.srv, r.cls, 1)
+		for i := range request.attempts {
+			attempt := &request.attempts[i]
+			if !attempt.ended && !attempt.silenceCounted && gw.now-max(attempt.sentAt, gw.pauseEndedAt) >
+				max(silentLatencies*request.class.latencyS, gossipIntervalS) &&
+				attempt.server.classOKAt[request.class.index] < attempt.sentAt {
+				attempt.silenceCounted = true
+				gw.suspect(attempt.server, request.class, 1)
 			}
 		}
-		if r.over || r.stream || r.out != 1 || r.cls.Effect == Unsafe {
+		if request.answered || request.streaming || request.inFlight != 1 || request.class.Effect == Unsafe {
 			continue
 		}
-		a := &r.attempts[len(r.attempts)-1]
-		age, ill := g.now-a.sentAt, g.sickness(a.srv, r.cls) > hedgeSick
-		early := !ill && (!g.s.ParallelAttempts || age < hedgeX*r.cls.lat || len(g.queue) > 0)
-		if early || a.done || a.called || age < hedgeShare*r.cls.TargetLatencyS {
+		attempt := &request.attempts[len(request.attempts)-1]
+		age, suspected := gw.now-attempt.sentAt, gw.suspicionOf(attempt.server, request.class) > hedgeSuspicion
+		tooEarly := !suspected && (!gw.settings.ParallelAttempts ||
+			age < hedgeLatencies*request.class.latencyS || len(gw.queue) > 0)
+		if tooEarly || attempt.ended || attempt.cancelled || age < hedgeTargetShare*request.class.TargetLatencyS {
 			continue
 		}
-		ran, at := r.ran, r.ranAt
-		if r.ran == nil {
-			r.ran, r.ranAt = a.srv, a.sentAt
+		ranOn, ranAt := request.ranOn, request.ranAt
+		if request.ranOn == nil {
+			request.ranOn, request.ranAt = attempt.server, attempt.sentAt
 		}
-		s := (*server)(nil)
-		if g.mayRetry(r) {
-			s = g.choose(r)
+		server := (*trackedServer)(nil)
+		if gw.mayAttempt(request) {
+			server = gw.chooseServer(request)
 		}
 		switch {
-		case s == nil || s == a.srv:
-			r.ran, r.ranAt = ran, at
-		case g.s.ParallelAttempts:
-			g.send(r, s)
-		case g.s.Cancel:
-			a.called = true
-			g.act.Cancel(r.ID, len(r.attempts)-1)
+		case server == nil || server == attempt.server:
+			request.ranOn, request.ranAt = ranOn, ranAt
+		case gw.settings.ParallelAttempts:
+			gw.send(request, server)
+		case gw.settings.Cancel:
+			attempt.cancelled = true
+			gw.actions.Cancel(request.ID, len(request.attempts)-1)
 		}
 	}
-	g.warmRate *= math.Exp((g.warmAt - g.now) / demandTauS)
-	g.warmAt = g.now
+	gw.warmWorkRate *= math.Exp((gw.warmWorkRateAt - gw.now) / demandDecayS)
+	gw.warmWorkRateAt = gw.now
 }
 
-// probe asks servers for their load where that comes with probes alone: the longest unheard of
-// first, and no more than a share of the requests.
-func (g *Gateway) probe() {
-	if !g.s.Probes || !g.s.LoadFromProbes || g.probes < 1 {
+// sendProbe probes a server for its load, where only probes carry load reports: the one without a
+// report for the longest time. Probes are limited to a share of the requests.
+func (gw *Gateway) sendProbe() {
+	if !gw.settings.Probes || !gw.settings.LoadFromProbes || gw.probeTokens < 1 {
 		return
 	}
-	next, oldest := (*server)(nil), g.now-probeEveryS
-	for _, s := range g.order {
-		if at := max(s.askedAt, s.utilAt); s.State == Up && at <= oldest {
-			next, oldest = s, at
+	next, oldest := (*trackedServer)(nil), gw.now-probeIntervalS
+	for _, server := range gw.listed {
+		if at := max(server.probedAt, server.utilAt); server.State == Up && at <= oldest {
+			next, oldest = server, at
 		}
 	}
 	if next != nil {
-		next.askedAt = g.now
-		g.probes--
-		g.act.Probe(next.ID)
+		next.probedAt = gw.now
+		gw.probeTokens--
+		gw.actions.Probe(next.ID)
 	}
 }
 
-// ProbeEnded takes the end of a probe.
-func (g *Gateway) ProbeEnded(now float64, p ProbeResult) {
-	g.clock(now)
-	s := g.servers[p.Server]
-	if s == nil {
+// ProbeEnded handles the end of a probe.
+func (gw *Gateway) ProbeEnded(now float64, result ProbeResult) {
+	gw.advance(now)
+	server := gw.servers[result.Server]
+	if server == nil {
 		return
 	}
-	g.report(s, p.Load)
-	if p.Status == Timeout || p.Status == ConnectFailed {
-		g.fails(s, nil, errorSick)
+	gw.applyLoad(server, result.Load)
+	if result.Status == Timeout || result.Status == ConnectFailed {
+		gw.suspect(server, nil, errorSuspicion)
 	}
-	g.drain()
+	gw.drainQueue()
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -88,7 +88,7 @@
 		d = 4
 	}
 	gw.Request(now, Request{ID: id, Class: class, Plan: plan, Customer: "c-" + plan, DeadlineAt: now + d,
-		FirstGateway: 0, GatewayCount: gw.s.Gateways, Units: units})
+		FirstGateway: 0, GatewayCount: gw.settings.Gateways, Units: units})
 }
 
 func TestQuotaIsEnforcedAndRefills(t *testing.T) {
@@ -369,7 +369,7 @@
 
 func TestRestartedOwnerRestoresItsCountFromReports(t *testing.T) {
 	gw, rec, pump := pair(t)
-	owner := gw[0].customer(Request{Customer: "c-basic", Plan: "basic", GatewayCount: 2}).prime
+	owner := gw[0].customerOf(Request{Customer: "c-basic", Plan: "basic", GatewayCount: 2}).primary
 	m, seen := 1-owner, 0
 	for i := range 100 {
 		now := 102 + float64(i)*0.02
@@ -395,35 +395,35 @@
 			fresh.PeerMessage(104.3, m, a.data)
 		}
 	}
-	c := fresh.custs[uint32(hashOf("c-basic")>>32)]
-	if c == nil || fresh.ledger(c).room > 4 {
+	c := fresh.customers[uint32(hash64("c-basic")>>32)]
+	if c == nil || fresh.ledgerOf(c).remaining > 4 {
 		t.Fatal("the restarted owner grants a full window again")
 	}
 }
 
 // asMember returns a gateway of a fleet, and a function that sends it a request of a customer that another
 // gateway owns.
-func asMember(t *testing.T, change func(*Settings)) (*Gateway, *recorder, func(now float64, id string, units float64) *customer) {
+func asMember(t *testing.T, change func(*Settings)) (*Gateway, *recorder, func(now float64, id string, units float64) *customerState) {
 	t.Helper()
 	gw, rec := gateway(t, change)
 	name := ""
 	for i := 0; ; i++ {
 		name = fmt.Sprint("k", i)
-		if gw.walk(&customer{hash: hashOf(name), entries: gw.s.Gateways}, false) != gw.s.Self {
+		if gw.ringWalk(&customerState{hash: hash64(name), gatewayCount: gw.settings.Gateways}, false) != gw.settings.Self {
 			break
 		}
 	}
-	return gw, rec, func(now float64, id string, units float64) *customer {
-		gw.Request(now, Request{ID: id, Class: "read", Plan: "basic", Customer: name, DeadlineAt: now + 2, GatewayCount: gw.s.Gateways,
+	return gw, rec, func(now float64, id string, units float64) *customerState {
+		gw.Request(now, Request{ID: id, Class: "read", Plan: "basic", Customer: name, DeadlineAt: now + 2, GatewayCount: gw.settings.Gateways,
 			Units: units})
-		return gw.custs[uint32(hashOf(name)>>32)]
+		return gw.customers[uint32(hash64(name)>>32)]
 	}
 }
 
 func fleet(n int) func(*Settings) { return func(s *Settings) { s.Gateways = n } }
 
 // verdictOf returns the owner's reply to the last report that a gateway has sent.
-func verdictOf(t *testing.T, rec *recorder, seq uint16, change func(*record)) (from int, data []byte) {
+func verdictOf(t *testing.T, rec *recorder, seq uint16, change func(*quotaRecord)) (from int, data []byte) {
 	t.Helper()
 	tells := rec.of("tell", "")
 	if len(tells) == 0 {
@@ -434,10 +434,10 @@
 	if !ok || len(recs) == 0 {
 		t.Fatal("no report was sent")
 	}
-	reply := record{Key: recs[0].Key, Plan: recs[0].Plan, Owner: true, Known: true, Total: recs[0].Total, Want: recs[0].Want}
+	reply := quotaRecord{Key: recs[0].Key, PlanIndex: recs[0].PlanIndex, FromOwner: true, RemainingKnown: true, Total: recs[0].Total, Requested: recs[0].Requested}
 	change(&reply)
 	b := appendRecord(appendHeader(nil, 9, seq), reply)
-	b[msgCount] = 1
+	b[msgCountOffset] = 1
 	return last.to, b
 }
 
@@ -450,7 +450,7 @@
 		if len(rec.of("send", ""))+len(rec.of("refuse", "")) != 0 {
 			t.Fatal("one of a hundred gateways decided alone")
 		}
-		from, b := verdictOf(t, rec, 1, func(reply *record) { reply.Total += grant; reply.Room = 1 })
+		from, b := verdictOf(t, rec, 1, func(reply *quotaRecord) { reply.Total += grant; reply.Remaining = 1 })
 		gw.PeerMessage(100.03, from, b)
 		if sent := len(rec.of("send", "q")); sent != int(grant/2) || sent+len(rec.of("refuse", "q")) != 1 {
 			t.Fatalf("%v of 2 units granted: %v", grant, rec.acts)
@@ -462,12 +462,12 @@
 	gw, rec := gateway(t, fleet(100))
 	granted := 0.0
 	for i := range 30 {
-		b := appendRecord(appendHeader(nil, 1, 1), record{Key: 77, Plan: 0, Want: 1, First: 1})
-		b[msgCount] = 1
+		b := appendRecord(appendHeader(nil, 1, 1), quotaRecord{Key: 77, PlanIndex: 0, Requested: 1, FirstRequested: 1})
+		b[msgCountOffset] = 1
 		gw.PeerMessage(100, 1+i, b)
 		tells := rec.of("tell", "")
 		_, _, recs, _, _ := parseMessage(tells[len(tells)-1].data, 100)
-		if granted += recs[0].Total; i == 29 && recs[0].Hold == 0 {
+		if granted += recs[0].Total; i == 29 && recs[0].RetryAfterS == 0 {
 			t.Fatal("an owner that was asked thirty times at once did not tell its members to wait")
 		}
 	}
@@ -479,18 +479,18 @@
 // Units that were granted but not used must not stay reserved.
 func TestUnusedGrantIsReturned(t *testing.T) {
 	gw, _ := gateway(t, fleet(100))
-	report := func(seq uint16, rec record) {
+	report := func(seq uint16, rec quotaRecord) {
 		b := appendRecord(appendHeader(nil, 1, seq), rec)
-		b[msgCount] = 1
+		b[msgCountOffset] = 1
 		gw.PeerMessage(100, 1, b)
 	}
-	report(1, record{Key: 77, Want: 6, First: 6})
-	report(2, record{Key: 77, Want: 6, First: 6}) // reported again, as the reply was lost
-	if remaining := gw.custs[77].led.room; remaining != 2 {
+	report(1, quotaRecord{Key: 77, Requested: 6, FirstRequested: 6})
+	report(2, quotaRecord{Key: 77, Requested: 6, FirstRequested: 6}) // reported again, as the reply was lost
+	if remaining := gw.customers[77].ledger.remaining; remaining != 2 {
 		t.Fatalf("%v units remain after 6 of 8 were requested in two reports, want 2", remaining)
 	}
-	report(3, record{Key: 77})
-	if remaining := gw.custs[77].led.room; remaining != 8 {
+	report(3, quotaRecord{Key: 77})
+	if remaining := gw.customers[77].ledger.remaining; remaining != 8 {
 		t.Fatalf("%v units remain after the grant was returned, want 8", remaining)
 	}
 }
@@ -503,13 +503,13 @@
 	for ; len(rec.of("send", ""))+len(rec.of("refuse", "")) == 0 && now < 101; now += 0.02 {
 		gw.Timer(now, 1)
 	}
-	if len(rec.of("send", "q")) != 1 || now > 100+(askTries+1)*(askWaitS+tickS) {
+	if len(rec.of("send", "q")) != 1 || now > 100+(maxUnansweredAsks+1)*(askTimeoutS+tickS) {
 		t.Fatalf("the local window had not decided by %v", now)
 	}
-	if tells := rec.of("tell", ""); len(tells) < askTries || tells[len(tells)-1].to == first {
+	if tells := rec.of("tell", ""); len(tells) < maxUnansweredAsks || tells[len(tells)-1].to == first {
 		t.Fatalf("a silent owner was never skipped: %v", tells)
 	}
-	if gw.alive(first) {
+	if gw.isResponsive(first) {
 		t.Fatal("an owner that answered no report counts as responsive")
 	}
 }
@@ -520,10 +520,10 @@
 	ask(100, "q", 2)
 	first := rec.of("tell", "")[0].to
 	gw.Timer(100.5, 1)
-	if !gw.alive(first) || len(rec.of("tell", "")) != 1 {
+	if !gw.isResponsive(first) || len(rec.of("tell", "")) != 1 {
 		t.Fatal("a pause of this gateway counted as silence of a peer")
 	}
-	from, b := verdictOf(t, rec, 1, func(reply *record) { reply.Total += 2 })
+	from, b := verdictOf(t, rec, 1, func(reply *quotaRecord) { reply.Total += 2 })
 	gw.PeerMessage(100.5, from, b)
 	if len(rec.of("send", "q")) != 1 {
 		t.Fatal("the reply that arrived meanwhile was not used")
@@ -606,17 +606,17 @@
 // class.
 func TestServerSuspectedForOneClassServesTheOthers(t *testing.T) {
 	gw, rec := gateway(t, alone)
-	for _, k := range gw.classList {
-		k.lat, k.n = 0.05, 100
+	for _, k := range gw.classes {
+		k.latencyS, k.answers = 0.05, 100
 	}
 	suspected := gw.servers["s1"]
 	ask(gw, 100, "q", "read", "wide", 1)
 	rec.acts = nil
-	gw.reqs["q"].attempts[0].srv = suspected
+	gw.requests["q"].attempts[0].server = suspected
 	for now := 100.02; now < 100.5; now += 0.02 {
 		gw.Timer(now, 1)
 	}
-	if gw.sickness(suspected, gw.classes["read"]) < 0.9 || gw.sickness(suspected, gw.classes["pay"]) > 0 {
+	if gw.suspicionOf(suspected, gw.classesByName["read"]) < 0.9 || gw.suspicionOf(suspected, gw.classesByName["pay"]) > 0 {
 		t.Fatal("silence for one class is not distinguished from silence for all")
 	}
 	if a := rec.of("send", "q"); len(a) != 1 || a[0].server == "s1" {
@@ -645,11 +645,11 @@
 func TestServerUpdatesAreGossiped(t *testing.T) {
 	a, recA, ask := asMember(t, fleet(100))
 	b, recB := gateway(t, func(s *Settings) { s.Gateways, s.Self = 100, 1 })
-	a.fails(a.servers["s2"], a.classes["pay"], 1)
-	a.report(a.servers["s1"], &Load{Util: 0.6})
+	a.suspect(a.servers["s2"], a.classesByName["pay"], 1)
+	a.applyLoad(a.servers["s1"], &Load{Util: 0.6})
 	ask(100, "q", 2)
 	b.PeerMessage(100.01, 0, recA.of("tell", "")[0].data)
-	if b.sickness(b.servers["s2"], b.classes["pay"]) < 0.9 || b.sickness(b.servers["s2"], b.classes["read"]) > 0 {
+	if b.suspicionOf(b.servers["s2"], b.classesByName["pay"]) < 0.9 || b.suspicionOf(b.servers["s2"], b.classesByName["read"]) > 0 {
 		t.Fatal("the suspicion was not passed on")
 	}
 	if u := b.servers["s1"].util; u < 0.59 || u > 0.61 {
@@ -660,7 +660,7 @@
 		t.Fatalf("%d server updates passed on, want 2", len(updates))
 	}
 	old := b.servers["s1"].utilAt
-	if b.told(item{b.servers["s1"].hash, loadItem, 0.1, old - 1}); b.servers["s1"].util < 0.5 {
+	if b.applyUpdate(serverUpdate{b.servers["s1"].hash, loadUpdate, 0.1, old - 1}); b.servers["s1"].util < 0.5 {
 		t.Fatal("an older update replaced a newer one")
 	}
 }
@@ -683,11 +683,11 @@
 func TestSilentOwnerLeavesTheRing(t *testing.T) {
 	gw, _, ask := asMember(t, nil)
 	c := ask(100, "q", 1)
-	gw.peers[1].missed, gw.peers[1].missAt = missMost, 100
-	if gw.owner(c) != 0 {
+	gw.peers[1].unanswered, gw.peers[1].unansweredAt = maxUnansweredReports, 100
+	if gw.ownerOf(c) != 0 {
 		t.Fatal("a silent owner still owns the customer")
 	}
-	if gw.now = 100 + silentRetryS + 0.01; gw.owner(c) != 1 {
+	if gw.now = 100 + silentPeerRetryS + 0.01; gw.ownerOf(c) != 1 {
 		t.Fatal("a silent owner is never used again")
 	}
 }
@@ -714,14 +714,14 @@
 func TestInvalidInputIsIgnored(t *testing.T) {
 	gw, rec := gateway(t, nil)
 	n := len(rec.acts)
-	good := appendRecord(appendHeader(nil, 1, 1), record{Key: 5, Plan: 15})
+	good := appendRecord(appendHeader(nil, 1, 1), quotaRecord{Key: 5, PlanIndex: 15})
 	for i := range good {
 		gw.PeerMessage(100, 1, good[:i])
 	}
 	gw.PeerMessage(100, 9, good)
 	gw.PeerMessage(100, -1, good)
 	gw.PeerMessage(100, 1, append([]byte{msgVersion + 1}, good[1:]...))
-	good[msgCount] = 1
+	good[msgCountOffset] = 1
 	gw.PeerMessage(100, 1, good)
 	gw.PeerMessage(100, 1, append(good, 1, 2, 3))
 	gw.PeerMessage(100, 1, make([]byte, 4000))
@@ -811,10 +811,10 @@
 // A new ledger adopts the remaining units that a member reports, even when they are far below its own count.
 func TestNewLedgerAdoptsReportedUnits(t *testing.T) {
 	gw, _ := gateway(t, nil)
-	b := appendRecord(appendHeader(nil, 1, 1), record{Key: 5, Known: true, Total: 0, Room: 1})
-	b[msgCount] = 1
+	b := appendRecord(appendHeader(nil, 1, 1), quotaRecord{Key: 5, RemainingKnown: true, Total: 0, Remaining: 1})
+	b[msgCountOffset] = 1
 	gw.PeerMessage(104, 1, b)
-	if remaining := gw.ledger(gw.custs[5]).room; remaining > 1 {
+	if remaining := gw.ledgerOf(gw.customers[5]).remaining; remaining > 1 {
 		t.Fatalf("%v units remain after a member reported 1", remaining)
 	}
 }
@@ -849,7 +849,7 @@
 	gw, rec := gateway(t, nil)
 	name := ""
 	for i := 0; name == ""; i++ {
-		if c := gw.customer(Request{Customer: fmt.Sprint("c", i), Plan: "basic", GatewayCount: 2}); c.prime == 1 {
+		if c := gw.customerOf(Request{Customer: fmt.Sprint("c", i), Plan: "basic", GatewayCount: 2}); c.primary == 1 {
 			name = fmt.Sprint("c", i)
 		}
 	}
@@ -933,7 +933,7 @@
 	gw, rec := gateway(t, nil)
 	name := ""
 	for i := 0; name == ""; i++ {
-		if c := gw.customer(Request{Customer: fmt.Sprint("c", i), Plan: "basic", GatewayCount: 2}); c.prime == 1 {
+		if c := gw.customerOf(Request{Customer: fmt.Sprint("c", i), Plan: "basic", GatewayCount: 2}); c.primary == 1 {
 			name = fmt.Sprint("c", i)
 		}
 	}
@@ -961,8 +961,8 @@
 		gw.Servers(100, []Server{{ID: "s1"}, {ID: "s2"}}, true)
 		customerID := ""
 		for i := 0; customerID == ""; i++ { // a customer that this gateway owns
-			c := gw.customer(Request{Customer: fmt.Sprint("c", i), Plan: "basic", GatewayCount: n})
-			if c.prime == gw.s.Self {
+			c := gw.customerOf(Request{Customer: fmt.Sprint("c", i), Plan: "basic", GatewayCount: n})
+			if c.primary == gw.settings.Self {
 				customerID = fmt.Sprint("c", i)
 			}
 		}
@@ -1012,14 +1012,14 @@
 		gw.Servers(now, list, true)
 		gw.Timer(now, 1)
 	}
-	if limit := 100 * int(forgetS+forgetS/4+3); len(gw.servers) > limit || len(gw.byHash) > limit {
-		t.Errorf("%d servers and %d hashes kept, want at most %d", len(gw.servers), len(gw.byHash), limit)
+	if limit := 100 * int(forgetAfterS+forgetAfterS/4+3); len(gw.servers) > limit || len(gw.serversByHash) > limit {
+		t.Errorf("%d servers and %d hashes kept, want at most %d", len(gw.servers), len(gw.serversByHash), limit)
 	}
 	if gw.servers["old"] == nil {
 		t.Error("a server with an attempt in flight was forgotten")
 	}
 	gw.Outcome(now, Outcome{ID: "q", Server: "old", Status: Timeout, RequestEnded: true})
-	for end := now + forgetS; now < end; now++ {
+	for end := now + forgetAfterS; now < end; now++ {
 		gw.Timer(now, 1)
 	}
 	if gw.servers["old"] != nil {
@@ -1078,7 +1078,7 @@
 		{Plan{Rate: 1, Burst: 1, CeilingRate: 20, CeilingBurst: 40}, 3, 0},     // far above it
 		{Plan{Rate: 1, Burst: 1}, 3, 0.5},                                      // no ceiling
 	} {
-		if got := poolPart(c.plan, c.gateways); got < c.want-1e-3 || got > c.want+1e-3 {
+		if got := reserveShareOf(c.plan, c.gateways); got < c.want-1e-3 || got > c.want+1e-3 {
 			t.Errorf("%+v, %d gateways: %v, want %v", c.plan, c.gateways, got, c.want)
 		}
 	}
@@ -1103,11 +1103,11 @@
 			gw, _ = New(s, 7, 100, rec)
 			gw.Servers(100, []Server{{ID: "s1", Zone: "a"}, {ID: "s2", Zone: "a"}}, true)
 			customer = fmt.Sprint("c", k)
-			x := gw.customer(Request{Customer: customer, Plan: c.plan, GatewayCount: 3})
-			gw.peers[1].missed, gw.peers[1].missAt = missMost, gw.now
-			away := gw.walk(x, true)
-			gw.peers[1].missed = 0
-			if x.prime == 1 && away == 0 {
+			x := gw.customerOf(Request{Customer: customer, Plan: c.plan, GatewayCount: 3})
+			gw.peers[1].unanswered, gw.peers[1].unansweredAt = maxUnansweredReports, gw.now
+			away := gw.ringWalk(x, true)
+			gw.peers[1].unanswered = 0
+			if x.primary == 1 && away == 0 {
 				break
 			}
 		}
@@ -1116,8 +1116,8 @@
 			now := 100 + float64(i)*0.02
 			if c.others && i%25 == 0 {
 				seq++
-				b := appendRecord(appendHeader(nil, 1, seq), record{Key: 9, Plan: 0, Total: 1})
-				b[msgCount] = 1
+				b := appendRecord(appendHeader(nil, 1, seq), quotaRecord{Key: 9, PlanIndex: 0, Total: 1})
+				b[msgCountOffset] = 1
 				gw.PeerMessage(now, 2, b)
 			}
 			if i%2 == 0 {
@@ -1138,11 +1138,11 @@
 func TestTimeoutCountsByWaitingTime(t *testing.T) {
 	suspicionAfter := func(spent float64) float64 {
 		gw, rec := gateway(t, alone)
-		gw.classes["read"].lat = 0.1
+		gw.classesByName["read"].latencyS = 0.1
 		ask(gw, 100, "q", "read", "wide", 1)
 		s := rec.of("send", "q")[0].server
 		gw.Outcome(100+spent, Outcome{ID: "q", Server: s, Status: Timeout, ElapsedS: spent})
-		return gw.sickness(gw.servers[s], gw.classes["read"])
+		return gw.suspicionOf(gw.servers[s], gw.classesByName["read"])
 	}
 	if short, long := suspicionAfter(0.15), suspicionAfter(0.6); short > 0.1 || long < 0.4 {
 		t.Errorf("suspicion %.2f after 1.5 mean latencies, %.2f after 6, want at most 0.1 and about half", short, long)
@@ -1185,14 +1185,14 @@
 	a, recA, ask := asMember(t, fleet(100))
 	b, _ := gateway(t, func(s *Settings) { s.Gateways, s.Self = 100, 1 })
 	for _, gw := range []*Gateway{a, b} {
-		gw.servers["s2"].sick[gw.classes["read"].index] = sick{0.9, 99}
+		gw.servers["s2"].suspicions[gw.classesByName["read"].index] = suspicion{0.9, 99}
 	}
-	answered := &request{cls: a.classes["read"]}
-	a.learn(answered, &attempt{srv: a.servers["s2"], sentAt: 99.9}, Outcome{Status: OK, ElapsedS: 0.1})
+	answered := &requestState{class: a.classesByName["read"]}
+	a.learn(answered, &attemptState{server: a.servers["s2"], sentAt: 99.9}, Outcome{Status: OK, ElapsedS: 0.1})
 	ask(100, "q", 2)
 	b.PeerMessage(100.01, 0, recA.of("tell", "")[0].data)
 	for name, gw := range map[string]*Gateway{"the gateway that got the answer": a, "the other gateway": b} {
-		if x := gw.sickness(gw.servers["s2"], gw.classes["read"]); x > 0.01 {
+		if x := gw.suspicionOf(gw.servers["s2"], gw.classesByName["read"]); x > 0.01 {
 			t.Errorf("%s still suspects the server: %.2f", name, x)
 		}
 	}
@@ -1206,8 +1206,8 @@
 	}{{0.1, "s1"}, {0.9, "s2"}} {
 		gw, rec := gateway(t, alone)
 		gw.Servers(100, []Server{{ID: "s3", State: Draining}}, false)
-		gw.servers["s1"].sick[gw.classes["read"].index] = sick{c.level, 100}
-		gw.servers["s2"].inflight, gw.out, gw.limit = 2, 2, 30
+		gw.servers["s1"].suspicions[gw.classesByName["read"].index] = suspicion{c.level, 100}
+		gw.servers["s2"].inFlight, gw.inFlight, gw.limit = 2, 2, 30
 		ask(gw, 100, "q", "read", "wide", 1)
 		if got := rec.of("send", "q"); len(got) != 1 || got[0].server != c.want {
 			t.Errorf("suspicion %v: sent %+v, want it sent to %s", c.level, got, c.want)
--- a/policy/state.go
+++ b/policy/state.go
@@ -8,289 +8,291 @@
 	"slices"
 )
 
-// What a gateway keeps, and plain helpers. What is done with it is in policy.go.
+// The state of a gateway, and functions without decisions. The decisions are in policy.go.
 
-type class struct {
+type classState struct {
 	Class
-	index int
-	lat   float64 // mean latency of good answers
-	base  float64 // the lowest mean so far, 0 until it is known
-	n     int
-	// how often tries came with which share of the deadline, and the commonest
-	times [patienceBins]int
-	usual int
+	index        int
+	latencyS     float64 // mean latency of successful answers
+	baseLatencyS float64 // lowest mean latency so far, 0 until it is known
+	answers      int
+	// arrivals is a histogram of the requests by the share of their deadline that was left on arrival;
+	// commonBin is its largest bin.
+	arrivals  [deadlineBinCount]int
+	commonBin int
 }
 
-type plan struct {
+type planState struct {
 	Plan
-	index int
-	pool  float64 // part of the ceiling that its first gateway pays grants from
+	index        int
+	reserveShare float64 // share of the ceiling from which a customer's primary pays grants
 }
 
-type server struct {
+type trackedServer struct {
 	Server
 	hash         uint16
 	listed       bool
-	goneAt       float64 // when it was last listed, if it is not
-	inflight     int
-	speed        float64 // latency against the class's mean
-	sentAt       float64
-	busy         float64 // mean attempts out here of late
+	lastListedAt float64 // meaningful while listed is false
+	inFlight     int
+	latencyRatio float64 // latency relative to the mean of its class
+	lastSentAt   float64
+	recentLoad   float64 // decaying mean of the attempts in flight from this gateway
 	util, utilAt float64
-	askedAt      float64 // last probe
-	sick         []sick  // by class
-	okAt         []float64
-	goodAt       float64 // last good answer
-	brokeAt      float64 // last broken or refused connection
+	probedAt     float64
+	suspicions   []suspicion // by class
+	classOKAt    []float64   // last successful answer, by class
+	lastOKAt     float64     // last successful answer of any class
+	lastBrokenAt float64     // last broken or refused connection
 	downUntil    float64
-	sentLog      []sentWork // while cold
+	coldSends    []sentWork // recorded during slow start
 }
 
-// sick tells how sure it was that a server leaves a class unanswered.
-type sick struct{ level, at float64 }
+// suspicion is how certain it was, from 0 to 1, that a server leaves a class unanswered.
+type suspicion struct{ level, at float64 }
 
-// item is news of a server: that it is sick for a class, or its use.
-type item struct {
-	server    uint16
-	class     int
-	value, at float64
+// serverUpdate is a piece of gossip about a server: its suspicion for a class, or its utilization.
+type serverUpdate struct {
+	serverHash uint16
+	class      int
+	value, at  float64
 }
 
-// list takes in a list of servers; it calls restarted for each that has started anew.
-func (g *Gateway) list(list []Server, whole bool, restarted func(*server)) {
-	for _, s := range g.order {
-		s.listed = s.listed && !whole
+// updateServers applies a list of servers and calls restarted for each server that has started anew.
+func (gw *Gateway) updateServers(list []Server, whole bool, restarted func(*trackedServer)) {
+	for _, server := range gw.listed {
+		server.listed = server.listed && !whole
 	}
-	for _, e := range list {
-		s := g.servers[e.ID]
-		if s == nil {
-			s = newServer(g)
-			s.hash = uint16(hashOf(e.ID))
-			g.servers[e.ID] = s
-			g.hashed(s)
-		} else if e.StartedAt > s.StartedAt {
-			restarted(s)
+	for _, entry := range list {
+		server := gw.servers[entry.ID]
+		if server == nil {
+			server = newServer(gw)
+			server.hash = uint16(hash64(entry.ID))
+			gw.servers[entry.ID] = server
+			gw.indexByHash(server)
+		} else if entry.StartedAt > server.StartedAt {
+			restarted(server)
 		}
-		s.Server, s.listed = e, e.State != Removed
+		server.Server, server.listed = entry, entry.State != Removed
 	}
-	g.order = g.order[:0]
-	for _, s := range g.servers {
-		if s.listed {
-			g.order = append(g.order, s)
-			s.goneAt = g.now
+	gw.listed = gw.listed[:0]
+	for _, server := range gw.servers {
+		if server.listed {
+			gw.listed = append(gw.listed, server)
+			server.lastListedAt = gw.now
 		}
 	}
-	slices.SortFunc(g.order, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(gw.listed, func(a, b *trackedServer) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// hashed makes a server known by its hash; of two of the same hash nothing that is told is used.
-func (g *Gateway) hashed(s *server) {
-	if _, twice := g.byHash[s.hash]; twice {
-		g.byHash[s.hash] = nil
+// indexByHash makes a server known by its hash. When two servers share a hash, updates for it are ignored.
+func (gw *Gateway) indexByHash(server *trackedServer) {
+	if _, taken := gw.serversByHash[server.hash]; taken {
+		gw.serversByHash[server.hash] = nil
 	} else {
-		g.byHash[s.hash] = s
+		gw.serversByHash[server.hash] = server
 	}
 }
 
-// sentWithin sums the work sent to a cold server within the last so many seconds.
-func (s *server) sentWithin(now, span float64) (sum float64) {
-	keep := s.sentLog[:0]
-	for _, w := range s.sentLog {
-		if now-w.at < span {
-			keep = append(keep, w)
-			sum += w.work
+// workSentWithin returns the work sent to a cold server within the last spanS seconds.
+func (server *trackedServer) workSentWithin(now, spanS float64) (sum float64) {
+	kept := server.coldSends[:0]
+	for _, sent := range server.coldSends {
+		if now-sent.at < spanS {
+			kept = append(kept, sent)
+			sum += sent.workS
 		}
 	}
-	s.sentLog = keep
+	server.coldSends = kept
 	return sum
 }
 
-type sentWork struct{ at, work float64 }
+type sentWork struct{ at, workS float64 }
 
-type attempt struct {
-	srv    *server
-	sentAt float64
-	done   bool
-	called bool // cancelled by us
-	seen   bool // its silence was taken in
+type attemptState struct {
+	server         *trackedServer
+	sentAt         float64
+	ended          bool
+	cancelled      bool // by this gateway
+	silenceCounted bool // its lack of an answer has raised the server's suspicion
 }
 
-type request struct {
+type requestState struct {
 	Request
-	cls      *class
-	plan     *plan
-	cust     *customer
-	aimAt    float64
-	attempts []attempt
-	out      int
-	home     *server // to whose group it is kept
-	ran      *server // first server where it may have run
-	ranAt    float64
-	over     bool
-	asking   bool // the owner's word is awaited
-	taken    bool // charged to its quota
-	stream   bool
-	prio     float64
-	cheap    float64 // 0 for the dearest class, towards 1 for the cheapest
-}
-
-// customer is what a gateway keeps of one customer.
-type customer struct {
-	key            uint32
-	hash           uint64
-	plan           *plan
-	first, entries int // entries 0: known from others' reports alone
-	prime          int // first on the ring of its gateways
-	usedAt         float64
-	total          float64 // own count of what was let in, ever
-	acked          float64 // as the owner last took it in
-	demand         float64 // units a second asked for here
-	demandAt       float64
-	out            int
-	known          bool    // the owner has reported
-	room, roomAt   float64 // as last reported
-	others         float64 // what the others are asked for
-	othersOut      int
-	holdTill       float64    // the owner refuses until then
-	asks           []*request // wait for the owner's word
-	asked          int        // of them, told to the owner
-	tries          int
-	waitFrom       float64 // since when a report is unanswered, 0: none
-	waiting        bool    // in Gateway.waiting
-	dirty          bool    // to be reported
-	askOf          int     // to this gateway
-	ceil, ceilAt   float64
-	pool, poolAt   float64
-	local, localAt float64
-	led            *ledger
-}
-
-// ledger is an owner's count: the window opens evenly, and what is unused
-// carries over up to one burst.
-type ledger struct {
-	room, at, born   float64
-	demand, demandAt float64
-	members          map[int]*member
-}
-
-type member struct {
-	boot  uint8
-	total float64 // as last told, and what was set aside for it since
-	rate  float64
-	out   int
-	at    float64 // last report
-}
-
-// outs sums the attempts that members other than one have out.
-func (l *ledger) outs(now float64, but int) (n int) {
-	for i, m := range l.members {
-		if i != but && now-m.at < outS {
-			n += m.out
+	class        *classState
+	plan         *planState
+	customer     *customerState
+	targetAt     float64
+	attempts     []attemptState
+	inFlight     int
+	home         *trackedServer // server of HomeServer
+	ranOn        *trackedServer // first server on which it may have run
+	ranAt        float64        // when it was sent to that server
+	answered     bool           // has had its final answer
+	awaitsOwner  bool           // waits for the owner's reply
+	charged      bool           // its units are charged to the quota
+	streaming    bool
+	priority     float64
+	valueDeficit float64 // 0 for the class of the highest value, towards 1 for that of the lowest
+}
+
+// customerState is what a gateway keeps of one customer.
+type customerState struct {
+	key                        uint32
+	hash                       uint64
+	plan                       *planState
+	firstGateway, gatewayCount int // gatewayCount 0: known from other gateways' reports only
+	primary                    int // the first of its gateways on the ring
+	usedAt                     float64
+	admitted                   float64 // units admitted here since the start
+	acked                      float64 // of them, acknowledged by the owner
+	demandRate                 float64 // units per second requested here
+	demandAt                   float64
+	inFlight                   int
+	remainingKnown             bool    // the owner has replied
+	remaining, remainingAt     float64 // as last reported by the owner
+	othersDemand               float64 // demand at the other gateways, in units per second
+	othersInFlight             int
+	refuseUntil                float64         // the owner asked not to be asked again before this time
+	awaitingOwner              []*requestState // waiting for the owner's reply
+	reportedAwaiting           int             // how many of them were reported to the owner
+	timeouts                   int
+	unansweredSince            float64 // since when a report is unanswered, 0: none
+	listed                     bool    // in Gateway.awaitingReply
+	reportDue                  bool
+	reportTo                   int // gateway that the report goes to
+	ceilingUnits, ceilingAt    float64
+	reserveUnits, reserveAt    float64
+	localUnits, localAt        float64
+	ledger                     *quotaLedger
+}
+
+// quotaLedger is an owner's count for one customer. Units accrue evenly, and unused ones
+// carry over up to one burst.
+type quotaLedger struct {
+	remaining, updatedAt, createdAt float64
+	demandRate, demandAt            float64
+	members                         map[int]*memberState
+}
+
+type memberState struct {
+	bootID     uint8
+	total      float64 // as last reported, and the units reserved for it since
+	demandRate float64
+	inFlight   int
+	reportedAt float64
+}
+
+// inFlightExcept returns the number of attempts that all members but one have in flight.
+func (ledger *quotaLedger) inFlightExcept(now float64, except int) (n int) {
+	for i, member := range ledger.members {
+		if i != except && now-member.reportedAt < memberInFlightS {
+			n += member.inFlight
 		}
 	}
 	return n
 }
 
-// heard counts the members heard of late.
-func (l *ledger) heard(now float64) (n int) {
-	for _, m := range l.members {
-		if now-m.at < memberS {
+// activeMembers returns the number of members that have reported recently.
+func (ledger *quotaLedger) activeMembers(now float64) (n int) {
+	for _, member := range ledger.members {
+		if now-member.reportedAt < memberActiveS {
 			n++
 		}
 	}
 	return n
 }
 
-func (l *ledger) demandNow(now float64) float64 {
-	return max(l.demand, 0) * math.Exp((l.demandAt-now)/demandTauS)
+func (ledger *quotaLedger) currentDemand(now float64) float64 {
+	return max(ledger.demandRate, 0) * math.Exp((ledger.demandAt-now)/demandDecayS)
 }
 
-// quarters rounds a difference of two counts, of which one has come over the wire.
-func quarters(x float64) float64 { return float64(int16(int64(math.Floor(x*4+0.5)))) / 4 }
+// wrappedDifference rounds the difference of two counts to quarters, modulo 16384 like the count that
+// came over the wire.
+func wrappedDifference(x float64) float64 { return float64(int16(int64(math.Floor(x*4+0.5)))) / 4 }
 
-type peer struct {
-	missed  int     // reports without an answer since it was last heard
-	missAt  float64 // the last of them
-	toldAt  float64
-	heardAt float64 // its last message
-	boot    uint8
-	seq     uint16
-	reports []*customer
-	pending bool // in Gateway.pending
-	urgent  bool // a request waits
+type peerState struct {
+	unanswered   int     // reports without a reply since the peer was last heard from
+	unansweredAt float64 // time of the last of them
+	reportedAt   float64
+	heardAt      float64 // time of its last message
+	bootID       uint8
+	seq          uint16
+	reports      []*customerState
+	listed       bool // in Gateway.peersDue
+	urgent       bool // a request waits for the peer's reply
 }
 
-// Gateway decides for one gateway.
+// Gateway makes the decisions of one gateway.
 type Gateway struct {
-	s         Settings
-	act       Actions
-	rng       *rand.Rand
-	now       float64
-	born      float64
-	boot      uint8
-	seq       uint16
-	gapAt     float64 // when this gateway last came back from a gap of its own
-	stoodAt   float64 // when it last came back from one so long that others counted in its place
-	stoodFor  float64 // and how long that was
-	lost      float64 // share of reports unanswered
-	inRate    float64 // messages a second that come in
-	inAt      float64
-	tokens    float64 // reports that may be sent
-	tokensAt  float64
-	pending   []int       // peers with reports due
-	waiting   []*customer // with reports unanswered
-	limit     float64     // attempts out here, at all servers
-	part      float64     // servers a gateway
-	out       int         // attempts out
-	stretch   float64     // mean of latency over aim
-	spent     float64     // mean time until an answer or a time-out
-	cutAt     float64
-	sentAt    float64
-	probes    float64 // that may be sent
-	news      []item
-	byHash    map[uint16]*server
-	classList []*class
-	maxWorth  float64 // of any class, a unit
-	ring      []ringPoint
-	classes   map[string]*class
-	plans     []*plan
-	byPlan    map[string]*plan
-	servers   map[string]*server
-	order     []*server
-	reqs      map[string]*request
-	live      []*request
-	queue     []*request
-	custs     map[uint32]*customer
-	peers     []peer
-	warmRate  float64 // work a second sent to each warm server
-	warmAt    float64
-	sweepAt   float64
+	settings             Settings
+	actions              Actions
+	rng                  *rand.Rand
+	now                  float64
+	createdAt            float64
+	bootID               uint8
+	seq                  uint16
+	pauseEndedAt         float64 // when this gateway last resumed after a pause of its own
+	takeoverPauseEndedAt float64 // when it last resumed after a pause in which others may have taken over
+	takeoverPauseS       float64 // length of that pause
+	unansweredShare      float64 // share of reports without a reply
+	messageRate          float64 // peer messages received per second
+	messageRateAt        float64
+	reportTokens         float64 // reports that may be sent
+	reportTokensAt       float64
+	peersDue             []int            // peers with reports due
+	awaitingReply        []*customerState // customers with unanswered reports
+	limit                float64          // concurrency limit of this gateway, over all servers
+	serversPerGateway    float64
+	inFlight             int     // attempts in flight
+	queueing             float64 // mean of the latency above the base latency, relative to the target
+	meanElapsedS         float64 // mean time until an answer or a timeout
+	limitCutAt           float64
+	lastSentAt           float64
+	probeTokens          float64 // probes that may be sent
+	gossip               []serverUpdate
+	serversByHash        map[uint16]*trackedServer
+	classes              []*classState
+	maxClassValue        float64 // highest value per unit of all classes
+	ring                 []ringPoint
+	classesByName        map[string]*classState
+	plans                []*planState
+	plansByName          map[string]*planState
+	servers              map[string]*trackedServer
+	listed               []*trackedServer
+	requests             map[string]*requestState
+	liveRequests         []*requestState
+	queue                []*requestState
+	customers            map[uint32]*customerState
+	peers                []peerState
+	warmWorkRate         float64 // work per second sent to each warm server
+	warmWorkRateAt       float64
+	nextCleanupAt        float64
 }
 
 type ringPoint struct {
-	at uint64
-	gw int
+	position uint64
+	gateway  int
 }
 
-// mix spreads the bits of x (the finaliser of splitmix64).
-func mix(x uint64) uint64 {
+// mix64 spreads the bits of x (the finalizer of splitmix64).
+func mix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// hashOf is a customer's point on the ring.
-func hashOf(customer string) uint64 {
+// hash64 hashes a name; for a customer the result is its position on the ring.
+func hash64(name string) uint64 {
 	h := uint64(14695981039346656037) // FNV-1a
-	for i := range len(customer) {
-		h = (h ^ uint64(customer[i])) * 1099511628211
+	for i := range len(name) {
+		h = (h ^ uint64(name[i])) * 1099511628211
 	}
-	return mix(h)
+	return mix64(h)
 }
 
-// sameGroup tells whether two servers drop the repeats of the same key.
-func sameGroup(scope KeyScope, a, b *server) bool {
+// sameKeyGroup reports whether two servers drop repeats of the same key.
+func sameKeyGroup(scope KeyScope, a, b *trackedServer) bool {
 	switch scope {
 	case ScopeZone:
 		return a.Zone == b.Zone
@@ -300,363 +302,381 @@
 	return true
 }
 
-// Validate tells what is wrong with the settings, nil if New takes them.
-func (s Settings) Validate() error {
+// Validate returns an error unless New accepts the settings.
+func (settings Settings) Validate() error {
 	switch {
-	case s.Gateways < 1:
-		return fmt.Errorf("gateways is %d, want 1 at least", s.Gateways)
-	case s.Self < 0 || s.Self >= s.Gateways:
-		return fmt.Errorf("me is %d, want 0 to %d", s.Self, s.Gateways-1)
-	case len(s.Classes) == 0:
+	case settings.Gateways < 1:
+		return fmt.Errorf("gateways is %d, want 1 at least", settings.Gateways)
+	case settings.Self < 0 || settings.Self >= settings.Gateways:
+		return fmt.Errorf("me is %d, want 0 to %d", settings.Self, settings.Gateways-1)
+	case len(settings.Classes) == 0:
 		return fmt.Errorf("no classes given")
-	case len(s.Plans) > 16:
-		return fmt.Errorf("%d plans given, 16 at most", len(s.Plans))
-	}
-	for _, c := range s.Classes {
-		if !(c.DeadlineS > 0) || !(c.TargetLatencyS > 0) || c.Value < 0 {
-			return fmt.Errorf("class %q: aim and deadline must be above 0 and worth not below", c.Name)
-		} else if c.Effect == Keyed && !(c.KeyTTLS > 0) {
-			return fmt.Errorf("class %q: its keys are kept for %v s, want above 0", c.Name, c.KeyTTLS)
+	case len(settings.Plans) > 16:
+		return fmt.Errorf("%d plans given, 16 at most", len(settings.Plans))
+	}
+	for _, class := range settings.Classes {
+		if !(class.DeadlineS > 0) || !(class.TargetLatencyS > 0) || class.Value < 0 {
+			return fmt.Errorf("class %q: aim and deadline must be above 0 and worth not below", class.Name)
+		} else if class.Effect == Keyed && !(class.KeyTTLS > 0) {
+			return fmt.Errorf("class %q: its keys are kept for %v s, want above 0", class.Name, class.KeyTTLS)
 		}
 	}
-	for _, p := range s.Plans {
-		if p.Rate < 0 || p.Rate > 0 && p.Burst <= 0 || p.MaxParallel < 0 || p.CeilingRate < 0 || p.ValueFactor < 0 {
-			return fmt.Errorf("plan %q: rates must not be below 0, and a rate needs a burst", p.Name)
+	for _, plan := range settings.Plans {
+		if plan.Rate < 0 || plan.Rate > 0 && plan.Burst <= 0 || plan.MaxParallel < 0 || plan.CeilingRate < 0 ||
+			plan.ValueFactor < 0 {
+			return fmt.Errorf("plan %q: rates must not be below 0, and a rate needs a burst", plan.Name)
 		}
 	}
 	return nil
 }
 
-// outBy counts the customer's attempts out, which a parallel plan's owner hears of.
-func (g *Gateway) outBy(r *request, n int) {
-	if r.cust == nil {
+// addInFlight counts the customer's attempts in flight, which are reported to the owner of a plan with
+// MaxParallel.
+func (gw *Gateway) addInFlight(request *requestState, n int) {
+	if request.customer == nil {
 		return
 	}
-	if r.cust.out += n; r.plan.MaxParallel > 0 {
-		g.note(r.cust, false)
+	if request.customer.inFlight += n; request.plan.MaxParallel > 0 {
+		gw.markForReport(request.customer, false)
 	}
 }
 
-// over notes that a request has had its final answer, and forgets it once nothing is out. What was
-// never sent never counted.
-func (g *Gateway) over(r *request) {
-	r.over = true
-	if r.taken && len(r.attempts) == 0 {
-		r.taken = false
-		g.charge(r.cust, -r.Units)
+// finish records that a request has had its final answer, and removes it once no attempt is in flight.
+// The units of a request that was never sent are given back.
+func (gw *Gateway) finish(request *requestState) {
+	request.answered = true
+	if request.charged && len(request.attempts) == 0 {
+		request.charged = false
+		gw.charge(request.customer, -request.Units)
 	}
-	if r.out == 0 {
-		delete(g.reqs, r.ID)
+	if request.inFlight == 0 {
+		delete(gw.requests, request.ID)
 	}
 }
 
-// asked counts what the customer asks for here, passed or not.
-func (g *Gateway) asked(c *customer, units float64) {
-	c.demand, c.demandAt = g.demandNow(c)+units/demandTauS, g.now
+// countDemand counts the units that the customer requests here, admitted or not.
+func (gw *Gateway) countDemand(customer *customerState, units float64) {
+	customer.demandRate, customer.demandAt = gw.currentDemand(customer)+units/demandDecayS, gw.now
 }
 
-func (g *Gateway) demandNow(c *customer) float64 {
-	return c.demand * math.Exp((c.demandAt-g.now)/demandTauS)
+func (gw *Gateway) currentDemand(customer *customerState) float64 {
+	return customer.demandRate * math.Exp((customer.demandAt-gw.now)/demandDecayS)
 }
 
-// walk goes on the ring from the customer's point to the first gateway that serves it, and with
-// skip to the first that is not silent.
-func (g *Gateway) walk(c *customer, skip bool) int {
-	i, _ := slices.BinarySearchFunc(g.ring, c.hash, func(p ringPoint, h uint64) int { return cmp.Compare(p.at, h) })
-	for n := range g.ring {
-		gw := g.ring[(i+n)%len(g.ring)].gw
-		if d := (gw - c.first + g.s.Gateways) % g.s.Gateways; d < c.entries && (!skip || g.alive(gw)) {
-			return gw
+// ringWalk follows the ring from the customer's position to the first gateway that serves it, and with
+// skipSilent to the first one that is responsive.
+func (gw *Gateway) ringWalk(customer *customerState, skipSilent bool) int {
+	i, _ := slices.BinarySearchFunc(gw.ring, customer.hash,
+		func(p ringPoint, h uint64) int { return cmp.Compare(p.position, h) })
+	for n := range gw.ring {
+		gateway := gw.ring[(i+n)%len(gw.ring)].gateway
+		if d := (gateway - customer.firstGateway + gw.settings.Gateways) %
+			gw.settings.Gateways; d < customer.gatewayCount &&
+			(!skipSilent || gw.isResponsive(gateway)) {
+			return gateway
 		}
 	}
-	return g.s.Self
+	return gw.settings.Self
 }
 
-// expect has the customer's reports looked after until they are answered.
-func (g *Gateway) expect(c *customer) {
-	if !c.waiting {
-		c.waiting = true
-		g.waiting = append(g.waiting, c)
+// awaitReply has checkUnanswered look after the customer's reports until they are answered.
+func (gw *Gateway) awaitReply(customer *customerState) {
+	if !customer.listed {
+		customer.listed = true
+		gw.awaitingReply = append(gw.awaitingReply, customer)
 	}
 }
 
-func (g *Gateway) header() []byte {
-	g.seq++
-	return appendHeader(make([]byte, 0, msgLimit), g.boot, g.seq)
+func (gw *Gateway) newMessage() []byte {
+	gw.seq++
+	return appendHeader(make([]byte, 0, msgMaxBytes), gw.bootID, gw.seq)
 }
 
-// spread keeps what is to be told to other gateways of servers, newest last.
-func (g *Gateway) spread(n item) {
-	if g.news = append(g.news, n); len(g.news) > newsKept {
-		g.news = g.news[1:]
+// queueUpdate keeps a server update that other gateways should receive, newest last.
+func (gw *Gateway) queueUpdate(update serverUpdate) {
+	if gw.gossip = append(gw.gossip, update); len(gw.gossip) > maxGossipKept {
+		gw.gossip = gw.gossip[1:]
 	}
 }
 
-// meanUtil is the use of the servers' cores, by what was reported of late.
-func (g *Gateway) meanUtil() (mean float64, fresh bool) {
+// meanUtil returns the mean utilization of the servers' cores by recent load reports, if there are any.
+func (gw *Gateway) meanUtil() (mean float64, fresh bool) {
 	n := 0.0
-	for _, s := range g.order {
-		if g.now-s.utilAt < utilS {
+	for _, server := range gw.listed {
+		if gw.now-server.utilAt < utilFreshS {
 			n++
-			mean += s.util
+			mean += server.util
 		}
 	}
 	return mean / max(n, 1), n > 0
 }
 
-// roomNow is the room as a member knows it.
-func (g *Gateway) roomNow(c *customer) float64 {
-	if c.led != nil {
-		// Ownership moved on: what was counted here is the best start for a member.
-		c.room, c.roomAt, c.known, c.acked, c.led = g.ledger(c).room, g.now, true, c.total, nil
+// memberRemaining returns the customer's remaining units as far as a member knows them.
+func (gw *Gateway) memberRemaining(customer *customerState) float64 {
+	if customer.ledger != nil {
+		// This gateway is no longer the owner; what it counted is the best starting point for a member.
+		customer.remaining, customer.remainingAt, customer.remainingKnown, customer.acked, customer.ledger =
+			gw.ledgerOf(customer).remaining, gw.now, true, customer.admitted, nil
 	}
-	return min(c.plan.Burst, c.room+c.plan.Rate*(g.now-c.roomAt)) - max(c.total-c.acked, 0)
+	return min(customer.plan.Burst, customer.remaining+customer.plan.Rate*(gw.now-customer.remainingAt)) -
+		max(customer.admitted-customer.acked, 0)
 }
 
-// clock sets the time, and notes when this gateway itself stood still.
-func (g *Gateway) clock(now float64) {
-	if now-g.now > gapS {
-		g.gapAt = now
+// advance sets the time and records when this gateway itself was paused.
+func (gw *Gateway) advance(now float64) {
+	if now-gw.now > minPauseS {
+		gw.pauseEndedAt = now
 	}
-	if now-g.now > stoodS {
-		g.stoodAt, g.stoodFor = now, now-g.now
+	if now-gw.now > minTakeoverPauseS {
+		gw.takeoverPauseEndedAt, gw.takeoverPauseS = now, now-gw.now
 	}
-	g.now = now
+	gw.now = now
 }
 
-// RemainingUnits tells what this gateway knows to be left of a customer's quota, in units, below 0 where more
-// was counted than it holds; false for a customer of whom it knows nothing.
-func (g *Gateway) RemainingUnits(now float64, customer string) (float64, bool) {
-	g.clock(now)
-	c := g.custs[uint32(hashOf(customer)>>32)]
-	if c == nil {
+// RemainingUnits returns what this gateway knows to be left of a customer's quota, in units. It is
+// negative when more was counted than the quota holds. It returns false for an unknown customer.
+func (gw *Gateway) RemainingUnits(now float64, customerID string) (float64, bool) {
+	gw.advance(now)
+	customer := gw.customers[uint32(hash64(customerID)>>32)]
+	if customer == nil {
 		return 0, false
-	} else if g.owner(c) == g.s.Self {
-		return g.ledger(c).room, true
+	} else if gw.ownerOf(customer) == gw.settings.Self {
+		return gw.ledgerOf(customer).remaining, true
 	}
-	return g.roomNow(c), true
+	return gw.memberRemaining(customer), true
 }
 
-// ReturnUnits hands back units that a Limit request was admitted for and that were not used after all. A
-// ceiling is not given back: it bounds what may have been sent.
-func (g *Gateway) ReturnUnits(now float64, customer string, units float64) {
-	g.clock(now)
-	if c := g.custs[uint32(hashOf(customer)>>32)]; c != nil && units > 0 {
-		g.charge(c, -units)
+// ReturnUnits gives back units that were admitted for a QuotaOnly request and were not used. Units of a
+// ceiling are not given back: it bounds what may have been sent.
+func (gw *Gateway) ReturnUnits(now float64, customerID string, units float64) {
+	gw.advance(now)
+	if customer := gw.customers[uint32(hash64(customerID)>>32)]; customer != nil && units > 0 {
+		gw.charge(customer, -units)
 	}
 }
 
-// customer finds or makes what is kept of a customer.
-func (g *Gateway) customer(q Request) *customer {
-	h := hashOf(q.Customer)
-	key := uint32(h >> 32)
-	c := g.custs[key]
-	if c == nil {
-		c = g.newCustomer(key, g.byPlan[q.Plan])
+// customerOf returns the state of the request's customer, and creates it if necessary.
+func (gw *Gateway) customerOf(request Request) *customerState {
+	hash := hash64(request.Customer)
+	key := uint32(hash >> 32)
+	customer := gw.customers[key]
+	if customer == nil {
+		customer = gw.newCustomer(key, gw.plansByName[request.Plan])
 	}
-	if c.entries == 0 {
-		c.hash, c.first, c.entries = h, q.FirstGateway, q.GatewayCount
-		if c.entries <= 0 || c.entries > g.s.Gateways {
-			c.first, c.entries = 0, g.s.Gateways
+	if customer.gatewayCount == 0 {
+		customer.hash, customer.firstGateway, customer.gatewayCount =
+			hash, request.FirstGateway, request.GatewayCount
+		if customer.gatewayCount <= 0 || customer.gatewayCount > gw.settings.Gateways {
+			customer.firstGateway, customer.gatewayCount = 0, gw.settings.Gateways
 		}
-		c.prime = g.walk(c, false)
+		customer.primary = gw.ringWalk(customer, false)
 	}
-	c.usedAt = g.now
-	return c
+	customer.usedAt = gw.now
+	return customer
 }
 
-// setUp makes the classes, the plans and the ring.
-func (g *Gateway) setUp(points int) {
-	for i, c := range g.s.Classes {
-		g.maxWorth = max(g.maxWorth, c.Value)
-		g.classList = append(g.classList, newClass(c, i))
-		g.classes[c.Name] = g.classList[i]
+// buildTables creates the tables of classes and plans and the ring.
+func (gw *Gateway) buildTables(pointsPerGateway int) {
+	for i, class := range gw.settings.Classes {
+		gw.maxClassValue = max(gw.maxClassValue, class.Value)
+		gw.classes = append(gw.classes, newClass(class, i))
+		gw.classesByName[class.Name] = gw.classes[i]
 	}
-	for i, p := range g.s.Plans {
-		g.plans = append(g.plans, &plan{Plan: p, index: i, pool: poolPart(p, g.s.Gateways)})
-		g.byPlan[p.Name] = g.plans[i]
+	for i, plan := range gw.settings.Plans {
+		gw.plans = append(gw.plans, &planState{Plan: plan, index: i,
+			reserveShare: reserveShareOf(plan, gw.settings.Gateways)})
+		gw.plansByName[plan.Name] = gw.plans[i]
 	}
-	for gw := range g.s.Gateways {
-		for i := range points {
-			g.ring = append(g.ring, ringPoint{mix(uint64(gw)<<32 | uint64(i)), gw})
+	for gateway := range gw.settings.Gateways {
+		for i := range pointsPerGateway {
+			gw.ring = append(gw.ring, ringPoint{mix64(uint64(gateway)<<32 | uint64(i)), gateway})
 		}
 	}
-	slices.SortFunc(g.ring, func(a, b ringPoint) int {
-		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.gw, b.gw))
+	slices.SortFunc(gw.ring, func(a, b ringPoint) int {
+		return cmp.Or(cmp.Compare(a.position, b.position), cmp.Compare(a.gateway, b.gateway))
 	})
 }
 
-// coldShare is the least part of its capacity that the server must have by now.
-func (g *Gateway) coldShare(s *server) float64 {
-	age := g.now - s.StartedAt
-	if s.StartedAt <= 0 || age >= g.s.ColdPeriodS || g.s.ColdPeriodS <= 0 {
+// capacityShare returns the share of its full capacity that the server is guaranteed to have by now.
+func (gw *Gateway) capacityShare(server *trackedServer) float64 {
+	age := gw.now - server.StartedAt
+	if server.StartedAt <= 0 || age >= gw.settings.ColdPeriodS || gw.settings.ColdPeriodS <= 0 {
 		return 1
 	}
-	return g.s.ColdStartShare + (1-g.s.ColdStartShare)*max(age, 0)/g.s.ColdPeriodS
+	return gw.settings.ColdStartShare + (1-gw.settings.ColdStartShare)*max(age, 0)/gw.settings.ColdPeriodS
 }
 
-// slowStartDraw is this gateway's draw, 0 to 1, for a server and the window of fallS that it is in. The draws of
-// all gateways for one server are spread evenly, and so are the beginnings of their windows.
-func (g *Gateway) slowStartDraw(s *server) float64 {
-	const golden, silver = 0.6180339887498949, 0.7548776662466927 // their multiples spread evenly, and apart from each other
-	_, phase := math.Modf(float64(g.s.Self) * silver)
-	window := uint64(max((g.now-s.StartedAt)/max(g.s.OverloadWindowS, 1e-3)+phase, 0))
-	draw := float64(mix(hashOf(s.ID)+window)>>11) / (1 << 53)
-	_, draw = math.Modf(draw + float64(g.s.Self)*golden)
+// slowStartDraw returns this gateway's draw, from 0 to 1, for a server and the current window of
+// OverloadWindowS. The draws of all gateways for one server are spread evenly, and so are the starts of
+// their windows.
+func (gw *Gateway) slowStartDraw(server *trackedServer) float64 {
+	// The multiples of each constant are spread evenly over 0 to 1, and independently of the other's.
+	const goldenRatio, plasticRatio = 0.6180339887498949, 0.7548776662466927
+	_, phase := math.Modf(float64(gw.settings.Self) * plasticRatio)
+	window := uint64(max((gw.now-server.StartedAt)/max(gw.settings.OverloadWindowS, 1e-3)+phase, 0))
+	draw := float64(mix64(hash64(server.ID)+window)>>11) / (1 << 53)
+	_, draw = math.Modf(draw + float64(gw.settings.Self)*goldenRatio)
 	return draw
 }
 
-// sickness tells how sure it is, from 0 to 1, that the server does not answer the class.
-func (g *Gateway) sickness(s *server, c *class) float64 {
-	k := s.sick[c.index]
-	return k.level * math.Exp((k.at-g.now)/sickTauS)
+// suspicionOf returns how certain it is by now, from 0 to 1, that the server does not answer the class.
+func (gw *Gateway) suspicionOf(server *trackedServer, class *classState) float64 {
+	last := server.suspicions[class.index]
+	return last.level * math.Exp((last.at-gw.now)/suspicionDecayS)
 }
 
-// forget drops customers unused for so long.
-func (g *Gateway) forget(age float64) {
-	longest := age // no key that ran at a forgotten server is still remembered there
-	for _, c := range g.classList {
-		longest = max(longest, 2*c.KeyTTLS)
+// forgetUnused removes customers that have not been used for ageS seconds, and servers that left the list.
+func (gw *Gateway) forgetUnused(ageS float64) {
+	// A server must stay known for as long as a key that ran there may be remembered.
+	serverAgeS := ageS
+	for _, class := range gw.classes {
+		serverAgeS = max(serverAgeS, 2*class.KeyTTLS)
 	}
-	for id, s := range g.servers {
-		if s.listed {
-			s.goneAt = g.now
-		} else if s.inflight == 0 && g.now-s.goneAt > longest {
-			delete(g.servers, id)
+	for id, server := range gw.servers {
+		if server.listed {
+			server.lastListedAt = gw.now
+		} else if server.inFlight == 0 && gw.now-server.lastListedAt > serverAgeS {
+			delete(gw.servers, id)
 		}
 	}
-	clear(g.byHash)
-	for _, s := range g.servers {
-		g.hashed(s)
-	}
-	for k, c := range g.custs {
-		if g.now-c.usedAt > age && c.out == 0 && len(c.asks) == 0 {
-			delete(g.custs, k)
-		} else if c.led != nil {
-			for i, m := range c.led.members {
-				if g.now-m.at > age {
-					delete(c.led.members, i)
+	clear(gw.serversByHash)
+	for _, server := range gw.servers {
+		gw.indexByHash(server)
+	}
+	for key, customer := range gw.customers {
+		if gw.now-customer.usedAt > ageS && customer.inFlight == 0 && len(customer.awaitingOwner) == 0 {
+			delete(gw.customers, key)
+		} else if customer.ledger != nil {
+			for i, member := range customer.ledger.members {
+				if gw.now-member.reportedAt > ageS {
+					delete(customer.ledger.members, i)
 				}
 			}
 		}
 	}
 }
 
-// due puts the customer on the list of what a peer is to be told.
-func (g *Gateway) due(c *customer, peer int) {
-	p := &g.peers[peer]
-	c.dirty, c.askOf = true, peer
-	p.reports = append(p.reports, c)
-	if !p.pending {
-		p.pending = true
-		g.pending = append(g.pending, peer)
+// scheduleReport adds the customer to the next report to a peer.
+func (gw *Gateway) scheduleReport(customer *customerState, gateway int) {
+	peer := &gw.peers[gateway]
+	customer.reportDue, customer.reportTo = true, gateway
+	peer.reports = append(peer.reports, customer)
+	if !peer.listed {
+		peer.listed = true
+		gw.peersDue = append(gw.peersDue, gateway)
 	}
 }
 
-// told takes a member's report into the sums, and returns the units it is beyond what was known.
-func (l *ledger) told(m *member, r record, now float64) float64 {
-	delta := quarters(r.Total - m.total)
-	l.demand = l.demandNow(now) + r.Rate - m.rate*math.Exp((m.at-now)/demandTauS)
-	l.demandAt = now
-	*m = member{boot: m.boot, total: r.Total, rate: r.Rate, out: r.Out, at: now}
+// applyReport adds a member's report to the sums and returns the units by which it exceeds what was known.
+func (ledger *quotaLedger) applyReport(member *memberState, rec quotaRecord, now float64) float64 {
+	delta := wrappedDifference(rec.Total - member.total)
+	ledger.demandRate = ledger.currentDemand(now) + rec.DemandRate -
+		member.demandRate*math.Exp((member.reportedAt-now)/demandDecayS)
+	ledger.demandAt = now
+	*member = memberState{bootID: member.bootID, total: rec.Total, demandRate: rec.DemandRate,
+		inFlight: rec.InFlight, reportedAt: now}
 	return delta
 }
 
-// StreamStarted takes the start of a streamed answer: the attempt belongs to the client now.
-func (g *Gateway) StreamStarted(now float64, id string, attempt int) {
-	g.clock(now)
-	if r := g.reqs[id]; r != nil {
-		r.stream = true
+// StreamStarted handles the start of a streamed answer. From then on the attempt is not retried, as part
+// of the answer has been passed to the client.
+func (gw *Gateway) StreamStarted(now float64, id string, attempt int) {
+	gw.advance(now)
+	if request := gw.requests[id]; request != nil {
+		request.streaming = true
 	}
 }
 
-// RequestAbandoned takes the news that the request needs no answer any more.
-func (g *Gateway) RequestAbandoned(now float64, id string) {
-	g.clock(now)
-	if r := g.reqs[id]; r != nil && !r.over {
-		g.over(r)
+// RequestAbandoned handles the event that a request needs no answer any more.
+func (gw *Gateway) RequestAbandoned(now float64, id string) {
+	gw.advance(now)
+	if request := gw.requests[id]; request != nil && !request.answered {
+		gw.finish(request)
 	}
 }
 
-// ServerEstimate is what a gateway holds of one server.
+// ServerEstimate is what a gateway knows and assumes about one server.
 type ServerEstimate struct {
 	Server       Server
 	InFlight     int
-	LatencyRatio float64 // latency against the mean of its class: 1 is usual
-	Suspicion    float64 // 0 to 1, of the class it is sickest for
+	LatencyRatio float64 // latency relative to the mean of its class: 1 is usual
+	Suspicion    float64 // 0 to 1, for the class with the highest suspicion
 	Util         float64 // as last reported
-	UtilAgeS     float64 // how long ago, +Inf for never
+	UtilAgeS     float64 // age of that report, +Inf without one
 }
 
-// ServerEstimates is what a gateway holds of each server on its list, in the order of their names. It decides nothing.
-func (g *Gateway) ServerEstimates(now float64) (list []ServerEstimate) {
-	for _, s := range g.order {
-		b := ServerEstimate{Server: s.Server, InFlight: s.inflight, LatencyRatio: s.speed, Util: s.util, UtilAgeS: now - s.utilAt}
-		for _, c := range g.classList {
-			b.Suspicion = max(b.Suspicion, g.sickness(s, c))
+// ServerEstimates returns the estimates for all listed servers, sorted by ID. It changes no state.
+func (gw *Gateway) ServerEstimates(now float64) (list []ServerEstimate) {
+	for _, server := range gw.listed {
+		estimate := ServerEstimate{Server: server.Server, InFlight: server.inFlight,
+			LatencyRatio: server.latencyRatio, Util: server.util, UtilAgeS: now - server.utilAt}
+		for _, class := range gw.classes {
+			estimate.Suspicion = max(estimate.Suspicion, gw.suspicionOf(server, class))
 		}
-		list = append(list, b)
+		list = append(list, estimate)
 	}
 	return list
 }
 
-// report takes in a load report.
-func (g *Gateway) report(s *server, l *Load) {
-	if l != nil && l.Util >= 0 {
-		s.util, s.utilAt = l.Util, g.now
-		g.spread(item{s.hash, loadItem, l.Util, g.now})
+// applyLoad applies a load report.
+func (gw *Gateway) applyLoad(server *trackedServer, load *Load) {
+	if load != nil && load.Util >= 0 {
+		server.util, server.utilAt = load.Util, gw.now
+		gw.queueUpdate(serverUpdate{server.hash, loadUpdate, load.Util, gw.now})
 	}
 }
 
-// verdict is what quota and ceiling say of a first send.
-type verdict int
+// quotaDecision is the decision by quota and ceiling on a request that has arrived.
+type quotaDecision int
 
 const (
-	deny verdict = iota
-	pass
-	wait // the owner is asked
+	deny quotaDecision = iota
+	allow
+	askOwner // the request waits for the owner's reply
 )
 
-// came counts what was left of the deadline when a try came, and returns its bin.
-func (c *class) came(left float64) int {
-	bin := int(min(max(left/c.DeadlineS, 0), 1)*(patienceBins-1) + 0.5)
-	c.times[bin]++
-	if c.times[bin] > c.times[c.usual] {
-		c.usual = bin
+// countArrival counts the share of the deadline that was left when a request arrived, and returns its bin.
+func (class *classState) countArrival(leftS float64) int {
+	bin := int(min(max(leftS/class.DeadlineS, 0), 1)*(deadlineBinCount-1) + 0.5)
+	class.arrivals[bin]++
+	if class.arrivals[bin] > class.arrivals[class.commonBin] {
+		class.commonBin = bin
 	}
 	return bin
 }
 
-// begin counts an attempt as out.
-func (g *Gateway) begin(r *request, s *server) {
-	s.inflight++
-	g.out++
-	r.out++
-	g.sentAt, s.sentAt = g.now, g.now
-	g.outBy(r, 1)
-	r.attempts = append(r.attempts, attempt{srv: s, sentAt: g.now})
+// beginAttempt counts a new attempt as in flight.
+func (gw *Gateway) beginAttempt(request *requestState, server *trackedServer) {
+	server.inFlight++
+	gw.inFlight++
+	request.inFlight++
+	gw.lastSentAt, server.lastSentAt = gw.now, gw.now
+	gw.addInFlight(request, 1)
+	request.attempts = append(request.attempts, attemptState{server: server, sentAt: gw.now})
 }
 
-// ended finds the attempt and counts it as done; nil if there is none out.
-func (g *Gateway) ended(o Outcome) (*request, *attempt) {
-	r := g.reqs[o.ID]
-	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].done {
+// endAttempt finds the attempt of an outcome and marks it as ended. It returns nil if it is not in flight.
+func (gw *Gateway) endAttempt(outcome Outcome) (*requestState, *attemptState) {
+	request := gw.requests[outcome.ID]
+	if request == nil || outcome.Attempt < 0 || outcome.Attempt >= len(request.attempts) ||
+		request.attempts[outcome.Attempt].ended {
 		return nil, nil
 	}
-	a := &r.attempts[o.Attempt]
-	a.done = true
-	a.srv.inflight--
-	g.out--
-	r.out--
-	g.outBy(r, -1)
-	return r, a
+	attempt := &request.attempts[outcome.Attempt]
+	attempt.ended = true
+	attempt.server.inFlight--
+	gw.inFlight--
+	request.inFlight--
+	gw.addInFlight(request, -1)
+	return request, attempt
 }
 
-// late tells whether a message is older than one taken in already, or comes twice.
-func (p *peer) late(boot uint8, seq uint16) bool {
-	if boot == p.boot && p.seq != 0 && int16(seq-p.seq) <= 0 {
+// isStale reports whether a message is a duplicate or older than one already handled. If not, it is
+// recorded as the newest one.
+func (p *peerState) isStale(bootID uint8, seq uint16) bool {
+	if bootID == p.bootID && p.seq != 0 && int16(seq-p.seq) <= 0 {
 		return true
 	}
-	p.boot, p.seq = boot, seq
+	p.bootID, p.seq = bootID, seq
 	return false
 }
