--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -7,23 +7,24 @@
 	"testing"
 )
 
-// fleetOnCold simulates a fleet of gateways that share 20 servers at 45 requests per second and server. One
-// server restarts under its old name after 6 s. The function returns the times at which the gateways together
-// send to that server, and the requests per second that a warm server got. weight is the share of the traffic
-// that each gateway gets; restart selects the gateways that restart together with the server and have seen no
-// traffic.
-func fleetOnCold(t *testing.T, gateways int, seed uint64, weight func(i int) float64, restart func(i int) bool) (sent []float64, warm float64) {
+// simulateColdServer simulates a fleet of gateways that share 20 servers at 45 requests per second and
+// server. One server restarts under its old name after 6 s. The function returns the times at which the
+// gateways together send to that server, and the requests per second that a warm server got. weight is the
+// share of the traffic that each gateway gets; restart selects the gateways that restart together with the
+// server and have seen no traffic.
+func simulateColdServer(t *testing.T, gateways int, seed uint64, weight func(i int) float64,
+	restart func(i int) bool) (sent []float64, warm float64) {
 	t.Helper()
 	const servers, each, start, end = 20, 45.0, 106.0, 116.0
 	var list []Server
 	for i := range servers {
 		list = append(list, Server{ID: fmt.Sprint("s", i), Zone: "a"})
 	}
-	fleet, recorders := make([]*Gateway, gateways), make([]*recorder, gateways)
+	fleet, recorders := make([]*Gateway, gateways), make([]*actionRecorder, gateways)
 	boot := func(i int, now float64, list []Server) {
 		s := testSettings()
 		s.Self, s.Gateways, s.PeerMessages = i, gateways, false
-		recorders[i] = &recorder{}
+		recorders[i] = &actionRecorder{}
 		gw, err := New(s, seed+uint64(i), now, recorders[i])
 		if err != nil {
 			t.Fatal(err)
@@ -46,7 +47,7 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	warmN, cold := 0, false
 	take := func(i int, now float64) {
-		for _, a := range recorders[i].acts {
+		for _, a := range recorders[i].actions {
 			if a.kind != "send" {
 				continue
 			}
@@ -55,9 +56,10 @@
 			} else if now >= start {
 				warmN++
 			}
-			pending = append(pending, done{now + 0.05, i, Outcome{ID: a.id, Server: a.server, Status: OK, RequestEnded: true, ElapsedS: 0.05}})
+			pending = append(pending, done{now + 0.05, i, Outcome{ID: a.id, Server: a.server, Status: OK,
+				RequestEnded: true, ElapsedS: 0.05}})
 		}
-		recorders[i].acts = recorders[i].acts[:0]
+		recorders[i].actions = recorders[i].actions[:0]
 	}
 	n := 0
 	tick := 100.0
@@ -91,8 +93,8 @@
 			i++
 		}
 		n++
-		fleet[i].Request(now, Request{ID: fmt.Sprint(n), Class: "read", Plan: "wide", Customer: fmt.Sprint("c", n%997), DeadlineAt: now + 2,
-			GatewayCount: gateways, Units: 1})
+		fleet[i].Request(now, Request{ID: fmt.Sprint(n), Class: "read", Plan: "wide",
+			Customer: fmt.Sprint("c", n%997), DeadlineAt: now + 2, GatewayCount: gateways, Units: 1})
 		take(i, now)
 	}
 	return sent, float64(warmN) / (servers - 1) / (end - start)
@@ -116,14 +118,15 @@
 	} {
 		for _, gateways := range []int{3, 30, 300} {
 			for seed := range uint64(2) {
-				sent, warm := fleetOnCold(t, gateways, 100*seed, c.weight, c.restart)
+				sent, warm := simulateColdServer(t, gateways, 100*seed, c.weight, c.restart)
 				worst, at := 0.0, 0.0
 				for i, from := range sent {
 					k := i
 					for k < len(sent) && sent[k] < from+s.OverloadWindowS {
 						k++
 					}
-					share := s.ColdStartShare + (1-s.ColdStartShare)*(from-106)/s.ColdPeriodS // at the start of the window, where it is lowest
+					// The share at the start of the window, where it is lowest.
+					share := s.ColdStartShare + (1-s.ColdStartShare)*(from-106)/s.ColdPeriodS
 					n := s.OverloadMultiple * share * warm * s.OverloadWindowS
 					if x := float64(k-i) / (n + 2*math.Sqrt(n) + 2); x > worst {
 						worst, at = x, from-106
@@ -131,7 +134,8 @@
 				}
 				part := float64(len(sent)) / (warm * s.ColdPeriodS * (1 + s.ColdStartShare) / 2)
 				if worst >= 0.75 {
-					t.Errorf("%s, %d gateways, seed %d: a cold server got %.2f of what overloads it, %.1f s after its start", c.name, gateways, seed, worst, at)
+					t.Errorf("%s, %d gateways, seed %d: a cold server got %.2f of what overloads it, %.1f s after its start",
+						c.name, gateways, seed, worst, at)
 				}
 				// Each of 300 gateways considers two servers per request, and some never consider the cold one in a
 				// window in which they may send to it.
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -32,9 +32,11 @@
 
 func settings(me, gateways int) policy.Settings {
 	return policy.Settings{
-		Self: me, Gateways: gateways, PeerMessages: gateways > 1, PeerMessagesPerS: 40, MaxAttempts: 3, MaxRetryAfterS: 1,
-		Classes: []policy.Class{{Name: "read", TargetLatencyS: 1, DeadlineS: 2, Value: 1, Effect: policy.Safe}},
-		Plans:   []policy.Plan{{Name: "basic", Rate: 1, Burst: 3, ValueFactor: 1, ExcessCostShare: 1}},
+		Self: me, Gateways: gateways, PeerMessages: gateways > 1, PeerMessagesPerS: 40, MaxAttempts: 3,
+		MaxRetryAfterS: 1,
+		Classes: []policy.Class{{Name: "read", TargetLatencyS: 1, DeadlineS: 2, Value: 1,
+			Effect: policy.Safe}},
+		Plans: []policy.Plan{{Name: "basic", Rate: 1, Burst: 3, ValueFactor: 1, ExcessCostShare: 1}},
 	}
 }
 
@@ -51,7 +53,8 @@
 		gw.Request(10, policy.Request{ID: fmt.Sprint("r", i), Class: "read", Plan: "basic", Customer: "ada",
 			DeadlineAt: 12, GatewayCount: 1, Units: 2})
 	}
-	gw.Outcome(10.1, policy.Outcome{ID: "r0", Server: "10.0.0.1:80", Status: policy.OK, RequestEnded: true, ElapsedS: 0.1})
+	gw.Outcome(10.1, policy.Outcome{ID: "r0", Server: "10.0.0.1:80", Status: policy.OK, RequestEnded: true,
+		ElapsedS: 0.1})
 	// Output:
 	// gateway: send r0 to 10.0.0.1:80
 	// gateway: refuse r1
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -6,38 +6,45 @@
 	"testing"
 )
 
-// out is one recorded action.
-type out struct {
-	kind, id, server string
-	to, attempt      int
-	x, start         float64
-	data             []byte
+// recordedAction is one recorded action.
+type recordedAction struct {
+	kind, id, server      string
+	to, attempt           int
+	seconds, startWithinS float64
+	data                  []byte
 }
 
-// recorder records the actions of one gateway.
-type recorder struct{ acts []out }
+// actionRecorder records the actions of one gateway.
+type actionRecorder struct{ actions []recordedAction }
 
-func (rec *recorder) Send(id, s string, t Timing) {
-	rec.acts = append(rec.acts, out{kind: "send", id: id, server: s, x: t.AnswerWithinS, start: t.StartWithinS})
+func (rec *actionRecorder) Send(id, s string, t Timing) {
+	rec.actions = append(rec.actions, recordedAction{kind: "send", id: id, server: s, seconds: t.AnswerWithinS,
+		startWithinS: t.StartWithinS})
 }
-func (rec *recorder) Refuse(id string, x float64, _ Refusal) {
-	rec.acts = append(rec.acts, out{kind: "refuse", id: id, x: x})
+func (rec *actionRecorder) Refuse(id string, x float64, _ Refusal) {
+	rec.actions = append(rec.actions, recordedAction{kind: "refuse", id: id, seconds: x})
 }
-func (rec *recorder) Fail(id string)  { rec.acts = append(rec.acts, out{kind: "fail", id: id}) }
-func (rec *recorder) Admit(id string) { rec.acts = append(rec.acts, out{kind: "admit", id: id}) }
-func (rec *recorder) Cancel(id string, n int) {
-	rec.acts = append(rec.acts, out{kind: "cancel", id: id, attempt: n})
+func (rec *actionRecorder) Fail(id string) {
+	rec.actions = append(rec.actions, recordedAction{kind: "fail", id: id})
 }
-func (rec *recorder) SetTimer(uint64, float64) {}
-func (rec *recorder) Probe(s string)           { rec.acts = append(rec.acts, out{kind: "probe", server: s}) }
-func (rec *recorder) SendToPeer(to int, b []byte) {
-	rec.acts = append(rec.acts, out{kind: "tell", to: to, data: append([]byte(nil), b...)})
+func (rec *actionRecorder) Admit(id string) {
+	rec.actions = append(rec.actions, recordedAction{kind: "admit", id: id})
 }
-func (rec *recorder) Log(string) {}
+func (rec *actionRecorder) Cancel(id string, n int) {
+	rec.actions = append(rec.actions, recordedAction{kind: "cancel", id: id, attempt: n})
+}
+func (rec *actionRecorder) SetTimer(uint64, float64) {}
+func (rec *actionRecorder) Probe(s string) {
+	rec.actions = append(rec.actions, recordedAction{kind: "probe", server: s})
+}
+func (rec *actionRecorder) SendToPeer(to int, b []byte) {
+	rec.actions = append(rec.actions, recordedAction{kind: "tell", to: to, data: append([]byte(nil), b...)})
+}
+func (rec *actionRecorder) Log(string) {}
 
-// of returns the actions of a kind for a request, or for all requests if id is "".
-func (rec *recorder) of(kind, id string) (list []out) {
-	for _, a := range rec.acts {
+// find returns the actions of a kind for a request, or for all requests if id is "".
+func (rec *actionRecorder) find(kind, id string) (list []recordedAction) {
+	for _, a := range rec.actions {
 		if a.kind == kind && (id == "" || a.id == id) {
 			list = append(list, a)
 		}
@@ -47,8 +54,8 @@
 
 func testSettings() Settings {
 	return Settings{
-		Self: 0, Gateways: 2, Zone: "a", MaxUnits: 4, PeerMessagesPerS: 40, PeerMessages: true, Cancel: true, ParallelAttempts: true,
-		MaxAttempts: 3, MaxRetryAfterS: 0.5, AnswerSlackS: 0.01,
+		Self: 0, Gateways: 2, Zone: "a", MaxUnits: 4, PeerMessagesPerS: 40, PeerMessages: true, Cancel: true,
+		ParallelAttempts: true, MaxAttempts: 3, MaxRetryAfterS: 0.5, AnswerSlackS: 0.01,
 		ColdStartShare: 0.2, ColdPeriodS: 10, OverloadMultiple: 3, OverloadWindowS: 1, TickS: 0.002,
 		Classes: []Class{
 			{Name: "read", TargetLatencyS: 1, DeadlineS: 2, Value: 1, Effect: Safe},
@@ -59,16 +66,17 @@
 		},
 		Plans: []Plan{
 			{Name: "basic", Rate: 2, Burst: 8, ValueFactor: 1, ExcessCostShare: 1},
-			{Name: "capped", Rate: 10, Burst: 20, ValueFactor: 1, ExcessCostShare: 1, CeilingRate: 20, CeilingBurst: 40, CeilingSlack: 4},
+			{Name: "capped", Rate: 10, Burst: 20, ValueFactor: 1, ExcessCostShare: 1, CeilingRate: 20,
+				CeilingBurst: 40, CeilingSlack: 4},
 			{Name: "open", MaxParallel: 2, ValueFactor: 1, ExcessCostShare: 1},
 			{Name: "wide", Rate: 1000, Burst: 4000, ValueFactor: 1},
 		},
 	}
 }
 
-func gateway(t *testing.T, change func(*Settings)) (*Gateway, *recorder) {
+func newTestGateway(t *testing.T, change func(*Settings)) (*Gateway, *actionRecorder) {
 	t.Helper()
-	s, rec := testSettings(), &recorder{}
+	s, rec := testSettings(), &actionRecorder{}
 	if change != nil {
 		change(&s)
 	}
@@ -76,13 +84,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	gw.Servers(100, []Server{{ID: "s1", Zone: "a", Cell: 1}, {ID: "s2", Zone: "a", Cell: 2}, {ID: "s3", Zone: "b", Cell: 3}}, true)
+	gw.Servers(100, []Server{{ID: "s1", Zone: "a", Cell: 1}, {ID: "s2", Zone: "a", Cell: 2},
+		{ID: "s3", Zone: "b", Cell: 3}}, true)
 	return gw, rec
 }
 
-func alone(s *Settings) { s.Gateways = 1 }
+func singleGateway(s *Settings) { s.Gateways = 1 }
 
-func ask(gw *Gateway, now float64, id, class, plan string, units float64) {
+func sendRequest(gw *Gateway, now float64, id, class, plan string, units float64) {
 	d := 2.0
 	if class != "read" {
 		d = 4
@@ -92,15 +101,15 @@
 }
 
 func TestQuotaIsEnforcedAndRefills(t *testing.T) {
-	gw, rec := gateway(t, alone)
+	gw, rec := newTestGateway(t, singleGateway)
 	for i := range 12 {
-		ask(gw, 100, fmt.Sprint("q", i), "pay", "basic", 1)
+		sendRequest(gw, 100, fmt.Sprint("q", i), "pay", "basic", 1)
 	}
-	if n := len(rec.of("send", "")); n != 8 {
+	if n := len(rec.find("send", "")); n != 8 {
 		t.Fatalf("%d requests sent, want the burst of 8", n)
 	}
-	ask(gw, 101, "later", "pay", "basic", 2)
-	if len(rec.of("send", "later")) != 1 {
+	sendRequest(gw, 101, "later", "pay", "basic", 2)
+	if len(rec.find("send", "later")) != 1 {
 		t.Fatal("no units accrued over time")
 	}
 }
@@ -108,41 +117,41 @@
 // Queued requests are charged on arrival. Otherwise the same remaining units would be promised to each of
 // them.
 func TestQueuedRequestsKeepTheirUnits(t *testing.T) {
-	gw, rec := gateway(t, alone)
+	gw, rec := newTestGateway(t, singleGateway)
 	gw.Servers(100, []Server{{ID: "s1", Zone: "a", State: Draining}}, true)
 	for i := range 12 {
-		ask(gw, 100, fmt.Sprint("q", i), "pay", "basic", 1)
+		sendRequest(gw, 100, fmt.Sprint("q", i), "pay", "basic", 1)
 	}
-	if n := len(rec.of("refuse", "")); n != 4 {
+	if n := len(rec.find("refuse", "")); n != 4 {
 		t.Fatalf("%d requests refused of 12 units against a burst of 8, want 4", n)
 	}
 }
 
 func TestParallelLimitIsEnforced(t *testing.T) {
-	gw, rec := gateway(t, alone)
+	gw, rec := newTestGateway(t, singleGateway)
 	for i := range 3 {
-		ask(gw, 100, fmt.Sprint("q", i), "read", "open", 1)
+		sendRequest(gw, 100, fmt.Sprint("q", i), "read", "open", 1)
 	}
-	if n := len(rec.of("send", "")); n != 2 {
+	if n := len(rec.find("send", "")); n != 2 {
 		t.Fatalf("%d attempts in flight, want 2", n)
 	}
 	gw.Outcome(100.1, Outcome{ID: "q0", Server: "s1", Status: OK, RequestEnded: true, ElapsedS: 0.1})
-	ask(gw, 100.1, "q3", "read", "open", 1)
-	if len(rec.of("send", "q3")) != 1 {
+	sendRequest(gw, 100.1, "q3", "read", "open", 1)
+	if len(rec.find("send", "q3")) != 1 {
 		t.Fatal("an ended attempt did not free its slot")
 	}
 }
 
 // A restarted gateway may just have used up its split of the ceiling, so the split starts empty.
 func TestCeilingSplitStartsEmpty(t *testing.T) {
-	gw, rec := gateway(t, nil)
-	sent := func() (n int) { return len(rec.of("send", "")) }
-	ask(gw, 100, "first", "read", "capped", 4)
+	gw, rec := newTestGateway(t, nil)
+	sent := func() (n int) { return len(rec.find("send", "")) }
+	sendRequest(gw, 100, "first", "read", "capped", 4)
 	if sent() != 0 {
 		t.Fatal("units were admitted with an empty split")
 	}
 	for i := range 400 {
-		ask(gw, 101+float64(i)*0.005, fmt.Sprint("q", i), "read", "capped", 1)
+		sendRequest(gw, 101+float64(i)*0.005, fmt.Sprint("q", i), "read", "capped", 1)
 		gw.Timer(101+float64(i)*0.005, 1)
 	}
 	if limit := int(20.0 / 2 * 3); sent() == 0 || sent() > limit {
@@ -154,14 +163,16 @@
 	for _, c := range []struct {
 		status Status
 		want   string
-	}{{Rejected, "send"}, {ConnectFailed, "send"}, {NotSent, "send"}, {Error, "fail"}, {Timeout, "fail"}, {Reset, "fail"}, {Cancelled, "fail"}} {
-		gw, rec := gateway(t, alone)
-		ask(gw, 100, "p", "pay", "wide", 1)
-		first := rec.of("send", "p")[0]
-		rec.acts = nil
+	}{{Rejected, "send"}, {ConnectFailed, "send"}, {NotSent, "send"}, {Error, "fail"}, {Timeout, "fail"},
+		{Reset, "fail"}, {Cancelled, "fail"}} {
+		gw, rec := newTestGateway(t, singleGateway)
+		sendRequest(gw, 100, "p", "pay", "wide", 1)
+		first := rec.find("send", "p")[0]
+		rec.actions = nil
 		gw.Outcome(100.2, Outcome{ID: "p", Server: first.server, Status: c.status, ElapsedS: 0.2})
-		if len(rec.of(c.want, "p")) != 1 || len(rec.of("send", "p"))+len(rec.of("fail", "p"))+len(rec.of("refuse", "p")) != 1 {
-			t.Errorf("status %d: want one %s, got %v", c.status, c.want, rec.acts)
+		if len(rec.find(c.want, "p")) != 1 || len(rec.find("send", "p"))+len(rec.find("fail",
+			"p"))+len(rec.find("refuse", "p")) != 1 {
+			t.Errorf("status %d: want one %s, got %v", c.status, c.want, rec.actions)
 		}
 	}
 }
@@ -173,21 +184,23 @@
 		endsAfter float64
 		begins    bool
 	}{{0.1, true}, {0.29, true}, {0.31, false}, {0.45, false}} {
-		gw, rec := gateway(t, alone)
-		ask(gw, 100, "t", "any", "wide", 1)
-		first := rec.of("send", "t")[0]
-		if first.start != first.x {
-			t.Fatalf("a first attempt begins within %v s, its answer is awaited for %v s", first.start, first.x)
+		gw, rec := newTestGateway(t, singleGateway)
+		sendRequest(gw, 100, "t", "any", "wide", 1)
+		first := rec.find("send", "t")[0]
+		if first.startWithinS != first.seconds {
+			t.Fatalf("a first attempt begins within %v s, its answer is awaited for %v s", first.startWithinS,
+				first.seconds)
 		}
-		rec.acts = nil
+		rec.actions = nil
 		gw.Outcome(100+c.endsAfter, Outcome{ID: "t", Server: first.server, Status: Reset, ElapsedS: c.endsAfter})
-		again := rec.of("send", "t")
+		again := rec.find("send", "t")
 		if (len(again) == 1) != c.begins {
 			t.Errorf("after %v s: %d repeats", c.endsAfter, len(again))
 		}
 		for _, a := range again {
-			if begins := c.endsAfter + a.start; begins > 0.3+1e-9 || a.start >= a.x {
-				t.Errorf("after %v s: a repeat may begin %v s after the first attempt, want at least 0.15 s before 0.5 s", c.endsAfter, begins)
+			if begins := c.endsAfter + a.startWithinS; begins > 0.3+1e-9 || a.startWithinS >= a.seconds {
+				t.Errorf("after %v s: a repeat may begin %v s after the first attempt, want at least 0.15 s before 0.5 s",
+					c.endsAfter, begins)
 			}
 		}
 	}
@@ -196,89 +209,92 @@
 func TestKeyedRetriesStayInGroupAndTime(t *testing.T) {
 	zone := map[string]string{"s1": "a", "s2": "a", "s3": "b"}
 	for seed := range 20 {
-		gw, rec := gateway(t, alone)
+		gw, rec := newTestGateway(t, singleGateway)
 		id := fmt.Sprint("k", seed)
-		ask(gw, 100, id, "put", "wide", 1)
-		first := rec.of("send", id)[0].server
-		rec.acts = nil
+		sendRequest(gw, 100, id, "put", "wide", 1)
+		first := rec.find("send", id)[0].server
+		rec.actions = nil
 		gw.Outcome(100.2, Outcome{ID: id, Server: first, Status: Reset, ElapsedS: 0.2})
-		for _, a := range rec.of("send", id) {
+		for _, a := range rec.find("send", id) {
 			if zone[a.server] != zone[first] {
 				t.Fatalf("retried from %s at %s in another zone", first, a.server)
 			}
 		}
 	}
-	gw, rec := gateway(t, alone)
-	ask(gw, 100, "c", "cell", "wide", 1)
-	first := rec.of("send", "c")[0].server
+	gw, rec := newTestGateway(t, singleGateway)
+	sendRequest(gw, 100, "c", "cell", "wide", 1)
+	first := rec.find("send", "c")[0].server
 	gw.Outcome(100.2, Outcome{ID: "c", Server: first, Status: Error, ElapsedS: 0.2})
-	for _, a := range rec.of("send", "c") {
+	for _, a := range rec.find("send", "c") {
 		if a.server != first {
 			t.Fatalf("retried at %s in another cell", a.server)
 		}
 	}
-	gw, rec = gateway(t, alone)
-	ask(gw, 100, "t", "any", "wide", 1)
-	first = rec.of("send", "t")[0].server
+	gw, rec = newTestGateway(t, singleGateway)
+	sendRequest(gw, 100, "t", "any", "wide", 1)
+	first = rec.find("send", "t")[0].server
 	gw.Outcome(100.6, Outcome{ID: "t", Server: first, Status: Error, ElapsedS: 0.6})
-	if len(rec.of("send", "t")) != 1 || len(rec.of("refuse", "t")) != 1 {
-		t.Fatalf("after the key has expired: want a refusal and no retry, got %v", rec.acts)
+	if len(rec.find("send", "t")) != 1 || len(rec.find("refuse", "t")) != 1 {
+		t.Fatalf("after the key has expired: want a refusal and no retry, got %v", rec.actions)
 	}
 }
 
 func TestFinalAnswerAfterTimeoutAtDeadline(t *testing.T) {
 	for class, want := range map[string]string{"read": "refuse", "put": "fail", "any": "refuse", "pay": "fail"} {
-		gw, rec := gateway(t, alone)
-		ask(gw, 100, "d", class, "wide", 1)
-		first := rec.of("send", "d")[0].server
-		rec.acts = nil
+		gw, rec := newTestGateway(t, singleGateway)
+		sendRequest(gw, 100, "d", class, "wide", 1)
+		first := rec.find("send", "d")[0].server
+		rec.actions = nil
 		gw.Outcome(104, Outcome{ID: "d", Server: first, Status: Timeout, ElapsedS: 4})
-		if len(rec.of(want, "d")) != 1 || len(rec.of("send", "d")) != 0 {
-			t.Errorf("%s: want one %s in the same batch, got %v", class, want, rec.acts)
+		if len(rec.find(want, "d")) != 1 || len(rec.find("send", "d")) != 0 {
+			t.Errorf("%s: want one %s in the same batch, got %v", class, want, rec.actions)
 		}
 	}
 }
 
 // A client retry that arrives 5 ms before its deadline must not wait in the queue past it.
 func TestRequestWithNoTimeLeftIsRefusedAtOnce(t *testing.T) {
-	gw, rec := gateway(t, alone)
+	gw, rec := newTestGateway(t, singleGateway)
 	gw.Servers(100, []Server{{ID: "s1", Zone: "a", State: Draining}}, true)
-	gw.Request(100, Request{ID: "x", Class: "read", Plan: "basic", Customer: "c", DeadlineAt: 100.005, GatewayCount: 1, Units: 1})
-	if len(rec.of("refuse", "x")) != 1 {
+	gw.Request(100, Request{ID: "x", Class: "read", Plan: "basic", Customer: "c", DeadlineAt: 100.005,
+		GatewayCount: 1, Units: 1})
+	if len(rec.find("refuse", "x")) != 1 {
 		t.Fatal("not refused on arrival")
 	}
 }
 
 func TestQueuedRequestIsAnsweredBeforeItsDeadline(t *testing.T) {
-	gw, rec := gateway(t, alone)
+	gw, rec := newTestGateway(t, singleGateway)
 	gw.Servers(100, nil, true)
-	ask(gw, 100, "w", "read", "basic", 1)
+	sendRequest(gw, 100, "w", "read", "basic", 1)
 	for now := 100.0; now < 102; now += 0.02 {
 		gw.Timer(now, 1)
 	}
-	if len(rec.of("refuse", "w"))+len(rec.of("fail", "w")) != 1 {
-		t.Fatalf("want one answer, got %v", rec.acts)
+	if len(rec.find("refuse", "w"))+len(rec.find("fail", "w")) != 1 {
+		t.Fatalf("want one answer, got %v", rec.actions)
 	}
 }
 
 func TestDrainAppliesToQueuedRequests(t *testing.T) {
-	gw, rec := gateway(t, alone)
+	gw, rec := newTestGateway(t, singleGateway)
 	for i := range 200 {
-		ask(gw, 100, fmt.Sprint("q", i), "read", "wide", 1)
+		sendRequest(gw, 100, fmt.Sprint("q", i), "read", "wide", 1)
 	}
 	if len(gw.queue) == 0 {
 		t.Fatal("no request is queued, so the test shows nothing")
 	}
-	gw.Servers(100.1, []Server{{ID: "s1", Zone: "a", Cell: 1, State: Draining}, {ID: "s2", State: Removed}}, false)
-	before := len(rec.acts)
+	gw.Servers(100.1, []Server{{ID: "s1", Zone: "a", Cell: 1, State: Draining}, {ID: "s2", State: Removed}},
+		false)
+	before := len(rec.actions)
 	for i := range 200 {
 		id := fmt.Sprint("q", i)
-		for n, a := range rec.of("send", id) {
-			gw.Outcome(100.2, Outcome{ID: id, Server: a.server, Attempt: n, Status: OK, RequestEnded: true, ElapsedS: 0.1})
+		for n, a := range rec.find("send", id) {
+			gw.Outcome(100.2, Outcome{ID: id, Server: a.server, Attempt: n, Status: OK, RequestEnded: true,
+				ElapsedS: 0.1})
 		}
 	}
 	later := 0
-	for _, a := range rec.acts[before:] {
+	for _, a := range rec.actions[before:] {
 		if a.kind == "send" {
 			later++
 			if a.server != "s3" {
@@ -292,11 +308,11 @@
 }
 
 func TestColdServerKeepsToItsShareOverAnyWindow(t *testing.T) {
-	gw, rec := gateway(t, alone)
-	at := func(id string) string { s := rec.of("send", id); return s[len(s)-1].server }
+	gw, rec := newTestGateway(t, singleGateway)
+	at := func(id string) string { s := rec.find("send", id); return s[len(s)-1].server }
 	step := func(i int, now float64) string {
 		id := fmt.Sprint("q", i)
-		ask(gw, now, id, "read", "wide", 1)
+		sendRequest(gw, now, id, "read", "wide", 1)
 		s := at(id)
 		gw.Outcome(now+0.01, Outcome{ID: id, Server: s, Status: OK, RequestEnded: true, ElapsedS: 0.1})
 		gw.Timer(now+0.01, 1)
@@ -319,10 +335,10 @@
 	}
 }
 
-// pair connects two gateways without message loss or delay.
-func pair(t *testing.T) (gw [2]*Gateway, rec [2]*recorder, pump func(now float64)) {
+// newTestPair connects two gateways without message loss or delay.
+func newTestPair(t *testing.T) (gw [2]*Gateway, rec [2]*actionRecorder, pump func(now float64)) {
 	for i := range 2 {
-		gw[i], rec[i] = gateway(t, func(s *Settings) { s.Self = i })
+		gw[i], rec[i] = newTestGateway(t, func(s *Settings) { s.Self = i })
 	}
 	seen := [2]int{}
 	return gw, rec, func(now float64) {
@@ -330,8 +346,8 @@
 			gw[i].Timer(now, 1)
 		}
 		for i := range 2 {
-			for ; seen[i] < len(rec[i].acts); seen[i]++ {
-				if a := rec[i].acts[seen[i]]; a.kind == "tell" {
+			for ; seen[i] < len(rec[i].actions); seen[i]++ {
+				if a := rec[i].actions[seen[i]]; a.kind == "tell" {
 					gw[1-i].PeerMessage(now, i, a.data)
 				}
 			}
@@ -340,14 +356,14 @@
 }
 
 func TestOwnerCountsTrafficOfAllGateways(t *testing.T) {
-	gw, rec, pump := pair(t)
+	gw, rec, pump := newTestPair(t)
 	units, seen := 0, [2]int{}
 	for i := range 500 {
 		now := 100 + float64(i)*0.02
-		ask(gw[i%2], now, fmt.Sprint("q", i), "read", "basic", 1)
+		sendRequest(gw[i%2], now, fmt.Sprint("q", i), "read", "basic", 1)
 		pump(now)
 		for k := range 2 {
-			units += len(served(gw[k], rec[k], &seen[k], now))
+			units += len(answerAll(gw[k], rec[k], &seen[k], now))
 		}
 	}
 	// 10 s at 2 units per second and a burst of 8.
@@ -356,10 +372,10 @@
 	}
 }
 
-// served answers all attempts sent since the last call.
-func served(gw *Gateway, rec *recorder, seen *int, now float64) (ids []string) {
-	for ; *seen < len(rec.acts); *seen++ {
-		if a := rec.acts[*seen]; a.kind == "send" {
+// answerAll answers all attempts sent since the last call.
+func answerAll(gw *Gateway, rec *actionRecorder, seen *int, now float64) (ids []string) {
+	for ; *seen < len(rec.actions); *seen++ {
+		if a := rec.actions[*seen]; a.kind == "send" {
 			ids = append(ids, a.id)
 			gw.Outcome(now, Outcome{ID: a.id, Server: a.server, Status: OK, RequestEnded: true, ElapsedS: 0.05})
 		}
@@ -368,14 +384,14 @@
 }
 
 func TestRestartedOwnerRestoresItsCountFromReports(t *testing.T) {
-	gw, rec, pump := pair(t)
+	gw, rec, pump := newTestPair(t)
 	owner := gw[0].customerOf(Request{Customer: "c-basic", Plan: "basic", GatewayCount: 2}).primary
 	m, seen := 1-owner, 0
 	for i := range 100 {
 		now := 102 + float64(i)*0.02
-		ask(gw[m], now, fmt.Sprint("q", i), "read", "basic", 1)
+		sendRequest(gw[m], now, fmt.Sprint("q", i), "read", "basic", 1)
 		pump(now)
-		served(gw[m], rec[m], &seen, now)
+		answerAll(gw[m], rec[m], &seen, now)
 	}
 	s := testSettings()
 	s.Self = owner
@@ -385,12 +401,12 @@
 	}
 	fresh.Servers(104, []Server{{ID: "s1", Zone: "a", Cell: 1}}, true)
 	gw[owner] = fresh
-	n := len(rec[m].acts)
+	n := len(rec[m].actions)
 	for now := 104.02; now < 104.3; now += 0.02 {
-		ask(gw[m], now, fmt.Sprint("after", now), "read", "basic", 1)
+		sendRequest(gw[m], now, fmt.Sprint("after", now), "read", "basic", 1)
 		gw[m].Timer(now, 1)
 	}
-	for _, a := range rec[m].acts[n:] {
+	for _, a := range rec[m].actions[n:] {
 		if a.kind == "tell" {
 			fresh.PeerMessage(104.3, m, a.data)
 		}
@@ -401,40 +417,44 @@
 	}
 }
 
-// asMember returns a gateway of a fleet, and a function that sends it a request of a customer that another
-// gateway owns.
-func asMember(t *testing.T, change func(*Settings)) (*Gateway, *recorder, func(now float64, id string, units float64) *customerState) {
+// newTestMember returns a gateway of a fleet, and a function that sends it a request of a customer that
+// another gateway owns.
+func newTestMember(t *testing.T, change func(*Settings)) (*Gateway, *actionRecorder,
+	func(now float64, id string, units float64) *customerState) {
 	t.Helper()
-	gw, rec := gateway(t, change)
+	gw, rec := newTestGateway(t, change)
 	name := ""
 	for i := 0; ; i++ {
 		name = fmt.Sprint("k", i)
-		if gw.ringWalk(&customerState{hash: hash64(name), gatewayCount: gw.settings.Gateways}, false) != gw.settings.Self {
+		if gw.ringWalk(&customerState{hash: hash64(name), gatewayCount: gw.settings.Gateways}, false) !=
+			gw.settings.Self {
 			break
 		}
 	}
 	return gw, rec, func(now float64, id string, units float64) *customerState {
-		gw.Request(now, Request{ID: id, Class: "read", Plan: "basic", Customer: name, DeadlineAt: now + 2, GatewayCount: gw.settings.Gateways,
-			Units: units})
+		gw.Request(now, Request{ID: id, Class: "read", Plan: "basic", Customer: name, DeadlineAt: now + 2,
+			GatewayCount: gw.settings.Gateways, Units: units})
 		return gw.customers[uint32(hash64(name)>>32)]
 	}
 }
 
-func fleet(n int) func(*Settings) { return func(s *Settings) { s.Gateways = n } }
+func fleetOf(n int) func(*Settings) { return func(s *Settings) { s.Gateways = n } }
 
-// verdictOf returns the owner's reply to the last report that a gateway has sent.
-func verdictOf(t *testing.T, rec *recorder, seq uint16, change func(*quotaRecord)) (from int, data []byte) {
+// ownerReply returns the owner's reply to the last report that a gateway has sent.
+func ownerReply(t *testing.T, rec *actionRecorder, seq uint16, change func(*quotaRecord)) (
+	from int, data []byte) {
 	t.Helper()
-	tells := rec.of("tell", "")
-	if len(tells) == 0 {
+	messages := rec.find("tell", "")
+	if len(messages) == 0 {
 		t.Fatal("no message was sent")
 	}
-	last := tells[len(tells)-1]
+	last := messages[len(messages)-1]
 	_, _, recs, _, ok := parseMessage(last.data, 0)
 	if !ok || len(recs) == 0 {
 		t.Fatal("no report was sent")
 	}
-	reply := quotaRecord{Key: recs[0].Key, PlanIndex: recs[0].PlanIndex, FromOwner: true, RemainingKnown: true, Total: recs[0].Total, Requested: recs[0].Requested}
+	reply := quotaRecord{Key: recs[0].Key, PlanIndex: recs[0].PlanIndex, FromOwner: true, RemainingKnown: true,
+		Total: recs[0].Total, Requested: recs[0].Requested}
 	change(&reply)
 	b := appendRecord(appendHeader(nil, 9, seq), reply)
 	b[msgCountOffset] = 1
@@ -445,28 +465,29 @@
 // that decided alone admitted units beyond the quota at each gateway, or refused while units remained.
 func TestMemberWaitsForTheOwnersReply(t *testing.T) {
 	for _, grant := range []float64{0, 2} {
-		gw, rec, ask := asMember(t, fleet(100))
+		gw, rec, ask := newTestMember(t, fleetOf(100))
 		ask(100, "q", 2)
-		if len(rec.of("send", ""))+len(rec.of("refuse", "")) != 0 {
+		if len(rec.find("send", ""))+len(rec.find("refuse", "")) != 0 {
 			t.Fatal("one of a hundred gateways decided alone")
 		}
-		from, b := verdictOf(t, rec, 1, func(reply *quotaRecord) { reply.Total += grant; reply.Remaining = 1 })
+		from, b := ownerReply(t, rec, 1, func(reply *quotaRecord) { reply.Total += grant; reply.Remaining = 1 })
 		gw.PeerMessage(100.03, from, b)
-		if sent := len(rec.of("send", "q")); sent != int(grant/2) || sent+len(rec.of("refuse", "q")) != 1 {
-			t.Fatalf("%v of 2 units granted: %v", grant, rec.acts)
+		if sent := len(rec.find("send", "q")); sent != int(grant/2) || sent+len(rec.find("refuse", "q")) != 1 {
+			t.Fatalf("%v of 2 units granted: %v", grant, rec.actions)
 		}
 	}
 }
 
 func TestOwnerGrantsRemainingUnits(t *testing.T) {
-	gw, rec := gateway(t, fleet(100))
+	gw, rec := newTestGateway(t, fleetOf(100))
 	granted := 0.0
 	for i := range 30 {
-		b := appendRecord(appendHeader(nil, 1, 1), quotaRecord{Key: 77, PlanIndex: 0, Requested: 1, FirstRequested: 1})
+		b := appendRecord(appendHeader(nil, 1, 1), quotaRecord{Key: 77, PlanIndex: 0, Requested: 1,
+			FirstRequested: 1})
 		b[msgCountOffset] = 1
 		gw.PeerMessage(100, 1+i, b)
-		tells := rec.of("tell", "")
-		_, _, recs, _, _ := parseMessage(tells[len(tells)-1].data, 100)
+		messages := rec.find("tell", "")
+		_, _, recs, _, _ := parseMessage(messages[len(messages)-1].data, 100)
 		if granted += recs[0].Total; i == 29 && recs[0].RetryAfterS == 0 {
 			t.Fatal("an owner that was asked thirty times at once did not tell its members to wait")
 		}
@@ -478,7 +499,7 @@
 
 // Units that were granted but not used must not stay reserved.
 func TestUnusedGrantIsReturned(t *testing.T) {
-	gw, _ := gateway(t, fleet(100))
+	gw, _ := newTestGateway(t, fleetOf(100))
 	report := func(seq uint16, rec quotaRecord) {
 		b := appendRecord(appendHeader(nil, 1, seq), rec)
 		b[msgCountOffset] = 1
@@ -496,18 +517,19 @@
 }
 
 func TestUnansweredRequestFallsBackInTime(t *testing.T) {
-	gw, rec, ask := asMember(t, fleet(100))
+	gw, rec, ask := newTestMember(t, fleetOf(100))
 	ask(100, "q", 2)
-	first := rec.of("tell", "")[0].to
+	first := rec.find("tell", "")[0].to
 	now := 100.0
-	for ; len(rec.of("send", ""))+len(rec.of("refuse", "")) == 0 && now < 101; now += 0.02 {
+	for ; len(rec.find("send", ""))+len(rec.find("refuse", "")) == 0 && now < 101; now += 0.02 {
 		gw.Timer(now, 1)
 	}
-	if len(rec.of("send", "q")) != 1 || now > 100+(maxUnansweredAsks+1)*(askTimeoutS+tickS) {
+	if len(rec.find("send", "q")) != 1 || now > 100+(maxUnansweredAsks+1)*(askTimeoutS+tickS) {
 		t.Fatalf("the local window had not decided by %v", now)
 	}
-	if tells := rec.of("tell", ""); len(tells) < maxUnansweredAsks || tells[len(tells)-1].to == first {
-		t.Fatalf("a silent owner was never skipped: %v", tells)
+	if messages := rec.find("tell", ""); len(messages) < maxUnansweredAsks ||
+		messages[len(messages)-1].to == first {
+		t.Fatalf("a silent owner was never skipped: %v", messages)
 	}
 	if gw.isResponsive(first) {
 		t.Fatal("an owner that answered no report counts as responsive")
@@ -516,16 +538,16 @@
 
 // A gateway that was paused itself must not conclude that the owners did not answer meanwhile.
 func TestOwnPauseDoesNotCountAsSilence(t *testing.T) {
-	gw, rec, ask := asMember(t, fleet(100))
+	gw, rec, ask := newTestMember(t, fleetOf(100))
 	ask(100, "q", 2)
-	first := rec.of("tell", "")[0].to
+	first := rec.find("tell", "")[0].to
 	gw.Timer(100.5, 1)
-	if !gw.isResponsive(first) || len(rec.of("tell", "")) != 1 {
+	if !gw.isResponsive(first) || len(rec.find("tell", "")) != 1 {
 		t.Fatal("a pause of this gateway counted as silence of a peer")
 	}
-	from, b := verdictOf(t, rec, 1, func(reply *quotaRecord) { reply.Total += 2 })
+	from, b := ownerReply(t, rec, 1, func(reply *quotaRecord) { reply.Total += 2 })
 	gw.PeerMessage(100.5, from, b)
-	if len(rec.of("send", "q")) != 1 {
+	if len(rec.find("send", "q")) != 1 {
 		t.Fatal("the reply that arrived meanwhile was not used")
 	}
 }
@@ -534,41 +556,41 @@
 func TestCeilingAddsUpThroughLossAndRestarts(t *testing.T) {
 	// The reserve is half of the ceiling first, then as large as one gateway needs.
 	for _, quota := range [][2]float64{{1000, 4000}, {10, 20}} {
-		ceilingAddsUp(t, quota[0], quota[1])
+		checkCeilingSum(t, quota[0], quota[1])
 	}
 }
 
-func ceilingAddsUp(t *testing.T, rate, burst float64) {
+func checkCeilingSum(t *testing.T, rate, burst float64) {
 	t.Helper()
 	const n = 6
 	var gateways [n]*Gateway
-	var recs [n]*recorder
+	var recs [n]*actionRecorder
 	var seen [n]int
-	born := func(i int, now float64) {
+	start := func(i int, now float64) {
 		s := testSettings()
 		s.Self, s.Gateways, s.Plans[1].Rate, s.Plans[1].Burst = i, n, rate, burst
-		recs[i], seen[i] = &recorder{}, 0
+		recs[i], seen[i] = &actionRecorder{}, 0
 		gateways[i], _ = New(s, uint64(i), now, recs[i])
 		gateways[i].Servers(now, []Server{{ID: "s1"}, {ID: "s2"}}, true)
 	}
 	for i := range n {
-		born(i, 100)
+		start(i, 100)
 	}
 	units := 0.0
 	for k := range 2000 {
 		now := 100 + float64(k)*0.005
 		if k%300 == 299 {
-			born(k/300%n, now)
+			start(k/300%n, now)
 		}
 		i := k * 7 % n
-		gateways[i].Request(now, Request{ID: fmt.Sprint("q", k), Class: "read", Plan: "capped", Customer: "c", DeadlineAt: now + 2,
-			GatewayCount: n, Units: 2})
+		gateways[i].Request(now, Request{ID: fmt.Sprint("q", k), Class: "read", Plan: "capped", Customer: "c",
+			DeadlineAt: now + 2, GatewayCount: n, Units: 2})
 		for i := range n {
 			if gateways[i].Timer(now, 1); k%4 != 0 {
 				continue
 			}
-			for ; seen[i] < len(recs[i].acts); seen[i]++ {
-				switch a := recs[i].acts[seen[i]]; {
+			for ; seen[i] < len(recs[i].actions); seen[i]++ {
+				switch a := recs[i].actions[seen[i]]; {
 				case a.kind == "send":
 					units += 2
 					gateways[i].Outcome(now, Outcome{ID: a.id, Status: OK, RequestEnded: true, ElapsedS: 0.05})
@@ -587,7 +609,7 @@
 // The limit must follow the number of servers. It once stayed the same while the list grew from 37 to 189
 // servers (issue i1620fa).
 func TestLimitFollowsTheNumberOfServers(t *testing.T) {
-	gw, _ := gateway(t, alone)
+	gw, _ := newTestGateway(t, singleGateway)
 	before := gw.limit
 	var more []Server
 	for i := range 27 {
@@ -605,30 +627,32 @@
 // Servers can leave one class unanswered and go on answering the others. Such a server must lose only that
 // class.
 func TestServerSuspectedForOneClassServesTheOthers(t *testing.T) {
-	gw, rec := gateway(t, alone)
+	gw, rec := newTestGateway(t, singleGateway)
 	for _, k := range gw.classes {
 		k.latencyS, k.answers = 0.05, 100
 	}
 	suspected := gw.servers["s1"]
-	ask(gw, 100, "q", "read", "wide", 1)
-	rec.acts = nil
+	sendRequest(gw, 100, "q", "read", "wide", 1)
+	rec.actions = nil
 	gw.requests["q"].attempts[0].server = suspected
 	for now := 100.02; now < 100.5; now += 0.02 {
 		gw.Timer(now, 1)
 	}
-	if gw.suspicionOf(suspected, gw.classesByName["read"]) < 0.9 || gw.suspicionOf(suspected, gw.classesByName["pay"]) > 0 {
+	if gw.suspicionOf(suspected, gw.classesByName["read"]) < 0.9 ||
+		gw.suspicionOf(suspected, gw.classesByName["pay"]) > 0 {
 		t.Fatal("silence for one class is not distinguished from silence for all")
 	}
-	if a := rec.of("send", "q"); len(a) != 1 || a[0].server == "s1" {
+	if a := rec.find("send", "q"); len(a) != 1 || a[0].server == "s1" {
 		t.Fatalf("the unanswered attempt was not hedged: %v", a)
 	}
 	pays := 0
 	for i := range 40 {
 		for _, class := range []string{"read", "pay"} {
 			id := fmt.Sprint(class, i)
-			ask(gw, 100.5, id, class, "wide", 1)
-			at := rec.of("send", id)[0].server
-			if gw.Outcome(100.5, Outcome{ID: id, Status: OK, RequestEnded: true, ElapsedS: 0.05}); at == "s1" && class == "read" {
+			sendRequest(gw, 100.5, id, class, "wide", 1)
+			at := rec.find("send", id)[0].server
+			if gw.Outcome(100.5, Outcome{ID: id, Status: OK, RequestEnded: true, ElapsedS: 0.05}); at == "s1" &&
+				class == "read" {
 				t.Fatal("a server that is suspected for a class was sent a request of it")
 			} else if at == "s1" {
 				pays++
@@ -643,19 +667,20 @@
 // One gateway of many sees each server too rarely, so utilization and suspicion of servers are gossiped with
 // other messages.
 func TestServerUpdatesAreGossiped(t *testing.T) {
-	a, recA, ask := asMember(t, fleet(100))
-	b, recB := gateway(t, func(s *Settings) { s.Gateways, s.Self = 100, 1 })
+	a, recA, ask := newTestMember(t, fleetOf(100))
+	b, recB := newTestGateway(t, func(s *Settings) { s.Gateways, s.Self = 100, 1 })
 	a.suspect(a.servers["s2"], a.classesByName["pay"], 1)
 	a.applyLoad(a.servers["s1"], &Load{Util: 0.6})
 	ask(100, "q", 2)
-	b.PeerMessage(100.01, 0, recA.of("tell", "")[0].data)
-	if b.suspicionOf(b.servers["s2"], b.classesByName["pay"]) < 0.9 || b.suspicionOf(b.servers["s2"], b.classesByName["read"]) > 0 {
+	b.PeerMessage(100.01, 0, recA.find("tell", "")[0].data)
+	if b.suspicionOf(b.servers["s2"], b.classesByName["pay"]) < 0.9 ||
+		b.suspicionOf(b.servers["s2"], b.classesByName["read"]) > 0 {
 		t.Fatal("the suspicion was not passed on")
 	}
 	if u := b.servers["s1"].util; u < 0.59 || u > 0.61 {
 		t.Fatalf("utilization passed on as %v, want 0.6", u)
 	}
-	_, _, _, updates, _ := parseMessage(recB.of("tell", "")[0].data, 100)
+	_, _, _, updates, _ := parseMessage(recB.find("tell", "")[0].data, 100)
 	if len(updates) != 2 {
 		t.Fatalf("%d server updates passed on, want 2", len(updates))
 	}
@@ -667,21 +692,21 @@
 
 // A request costs at most two messages, whatever the size of the fleet.
 func TestMessagesDoNotGrowWithTheFleet(t *testing.T) {
-	gw, rec, ask := asMember(t, fleet(500))
+	gw, rec, ask := newTestMember(t, fleetOf(500))
 	for now := 100.0; now < 102; now += 0.02 {
 		gw.Timer(now, 1)
 	}
-	if n := len(rec.of("tell", "")); n != 0 {
+	if n := len(rec.find("tell", "")); n != 0 {
 		t.Fatalf("%d messages without a request", n)
 	}
 	ask(102, "q", 2)
-	if n := len(rec.of("tell", "")); n != 1 {
+	if n := len(rec.find("tell", "")); n != 1 {
 		t.Fatalf("%d messages for a request", n)
 	}
 }
 
 func TestSilentOwnerLeavesTheRing(t *testing.T) {
-	gw, _, ask := asMember(t, nil)
+	gw, _, ask := newTestMember(t, nil)
 	c := ask(100, "q", 1)
 	gw.peers[1].unanswered, gw.peers[1].unansweredAt = maxUnansweredReports, 100
 	if gw.ownerOf(c) != 0 {
@@ -695,25 +720,28 @@
 // The target of a client retry counts from the first request. Otherwise retries are answered after the
 // target.
 func TestClientRetriesAreRecognized(t *testing.T) {
-	gw, rec := gateway(t, alone)
+	gw, rec := newTestGateway(t, singleGateway)
 	for i := range 40 {
 		id := fmt.Sprint("q", i)
-		ask(gw, 100+float64(i), id, "read", "basic", 1)
-		gw.Outcome(100+float64(i), Outcome{ID: id, Server: rec.of("send", id)[0].server, Status: OK, RequestEnded: true, ElapsedS: 0.1})
+		sendRequest(gw, 100+float64(i), id, "read", "basic", 1)
+		gw.Outcome(100+float64(i), Outcome{ID: id, Server: rec.find("send", id)[0].server, Status: OK,
+			RequestEnded: true, ElapsedS: 0.1})
 	}
-	gw.Request(150, Request{ID: "late", Class: "read", Plan: "basic", Customer: "x", DeadlineAt: 150.8, GatewayCount: 1, Units: 1})
-	if len(rec.of("send", "late")) != 0 || len(rec.of("refuse", "late")) != 1 {
+	gw.Request(150, Request{ID: "late", Class: "read", Plan: "basic", Customer: "x", DeadlineAt: 150.8,
+		GatewayCount: 1, Units: 1})
+	if len(rec.find("send", "late")) != 0 || len(rec.find("refuse", "late")) != 1 {
 		t.Fatal("a retry that is past its target was sent")
 	}
-	gw.Request(150, Request{ID: "soon", Class: "read", Plan: "basic", Customer: "x", DeadlineAt: 151.7, GatewayCount: 1, Units: 1})
-	if len(rec.of("send", "soon")) != 1 {
+	gw.Request(150, Request{ID: "soon", Class: "read", Plan: "basic", Customer: "x", DeadlineAt: 151.7,
+		GatewayCount: 1, Units: 1})
+	if len(rec.find("send", "soon")) != 1 {
 		t.Fatal("a retry that can still meet its target was refused")
 	}
 }
 
 func TestInvalidInputIsIgnored(t *testing.T) {
-	gw, rec := gateway(t, nil)
-	n := len(rec.acts)
+	gw, rec := newTestGateway(t, nil)
+	n := len(rec.actions)
 	good := appendRecord(appendHeader(nil, 1, 1), quotaRecord{Key: 5, PlanIndex: 15})
 	for i := range good {
 		gw.PeerMessage(100, 1, good[:i])
@@ -730,8 +758,8 @@
 	gw.StreamStarted(100, "none", 0)
 	gw.ProbeEnded(100, ProbeResult{Server: "none"})
 	gw.Timer(100, 77)
-	if len(rec.acts) != n {
-		t.Fatalf("acted on invalid input: %v", rec.acts[n:])
+	if len(rec.actions) != n {
+		t.Fatalf("acted on invalid input: %v", rec.actions[n:])
 	}
 }
 
@@ -746,7 +774,7 @@
 	} {
 		s := testSettings()
 		change(&s)
-		if _, err := New(s, 1, 0, &recorder{}); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := New(s, 1, 0, &actionRecorder{}); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("want an error about %q, got %v", want, err)
 		}
 	}
@@ -755,18 +783,18 @@
 func TestSameEventsGiveTheSameActions(t *testing.T) {
 	var logs [2]string
 	for k := range logs {
-		gw, rec := gateway(t, nil)
+		gw, rec := newTestGateway(t, nil)
 		for i := range 300 {
 			now := 100 + float64(i)*0.01
 			id := fmt.Sprint("q", i)
-			gw.Request(now, Request{ID: id, Class: "read", Plan: "wide", Customer: fmt.Sprint("c", i%37), DeadlineAt: now + 2,
-				GatewayCount: 2, Units: 1})
-			for n, a := range rec.of("send", id) {
+			gw.Request(now, Request{ID: id, Class: "read", Plan: "wide", Customer: fmt.Sprint("c", i%37),
+				DeadlineAt: now + 2, GatewayCount: 2, Units: 1})
+			for n, a := range rec.find("send", id) {
 				gw.Outcome(now, Outcome{ID: id, Server: a.server, Attempt: n, Status: Status(i % 4), ElapsedS: 0.05})
 			}
 			gw.Timer(now, 1)
 		}
-		logs[k] = fmt.Sprint(rec.acts)
+		logs[k] = fmt.Sprint(rec.actions)
 	}
 	if logs[0] != logs[1] {
 		t.Fatal("the same events gave different actions")
@@ -776,7 +804,7 @@
 // A gateway that is partitioned from its peers may admit only its own part of the quota. Otherwise, with all
 // messages lost, every gateway grants the whole quota.
 func TestPartitionedGatewayAdmitsOnlyItsPart(t *testing.T) {
-	gw, rec, ask := asMember(t, fleet(4))
+	gw, rec, ask := newTestMember(t, fleetOf(4))
 	seen := 0
 	for i := range 2500 {
 		now := 100 + float64(i)*0.02
@@ -784,10 +812,10 @@
 			ask(now, fmt.Sprint("q", i), 1)
 		}
 		gw.Timer(now, 1)
-		served(gw, rec, &seen, now)
+		answerAll(gw, rec, &seen, now)
 	}
 	// 50 s at a quarter of 2 units per second, and a burst of 8.
-	if n := len(rec.of("send", "")); n < 20 || n > 50 {
+	if n := len(rec.find("send", "")); n < 20 || n > 50 {
 		t.Fatalf("%d units sent while partitioned, its part of the quota is 33, the whole 108", n)
 	}
 }
@@ -795,22 +823,22 @@
 // While a customer exceeds its rate, low-value requests must leave units to high-value ones. First come,
 // first served spends the quota on low-value requests.
 func TestLowValueWorkLeavesUnitsToHighValueWork(t *testing.T) {
-	gw, rec := gateway(t, alone)
+	gw, rec := newTestGateway(t, singleGateway)
 	for i := range 12 {
-		ask(gw, 100, fmt.Sprint("cheap", i), "read", "basic", 1)
+		sendRequest(gw, 100, fmt.Sprint("cheap", i), "read", "basic", 1)
 	}
-	if n := len(rec.of("send", "")); n == 0 || n >= 8 {
+	if n := len(rec.find("send", "")); n == 0 || n >= 8 {
 		t.Fatalf("%d low-value requests sent, want some and fewer than the burst of 8", n)
 	}
-	ask(gw, 100, "dear", "pay", "basic", 2)
-	if len(rec.of("send", "dear")) != 1 {
+	sendRequest(gw, 100, "dear", "pay", "basic", 2)
+	if len(rec.find("send", "dear")) != 1 {
 		t.Fatal("no units were left to the high-value request")
 	}
 }
 
 // A new ledger adopts the remaining units that a member reports, even when they are far below its own count.
 func TestNewLedgerAdoptsReportedUnits(t *testing.T) {
-	gw, _ := gateway(t, nil)
+	gw, _ := newTestGateway(t, nil)
 	b := appendRecord(appendHeader(nil, 1, 1), quotaRecord{Key: 5, RemainingKnown: true, Total: 0, Remaining: 1})
 	b[msgCountOffset] = 1
 	gw.PeerMessage(104, 1, b)
@@ -822,21 +850,22 @@
 // A request for units only is charged to the same quota as other requests, keeps its units and is never sent
 // to a server.
 func TestQuotaOnlyRequestSharesTheQuota(t *testing.T) {
-	gw, rec := gateway(t, func(s *Settings) { s.Gateways, s.PeerMessages = 1, false })
+	gw, rec := newTestGateway(t, func(s *Settings) { s.Gateways, s.PeerMessages = 1, false })
 	for i := range 3 {
-		gw.Request(100, Request{ID: fmt.Sprint("l", i), Class: "pay", Plan: "basic", Customer: "ada", DeadlineAt: 102,
-			Units: 3, QuotaOnly: true})
+		gw.Request(100, Request{ID: fmt.Sprint("l", i), Class: "pay", Plan: "basic", Customer: "ada",
+			DeadlineAt: 102, Units: 3, QuotaOnly: true})
 	}
-	if len(rec.of("admit", "")) != 2 || len(rec.of("refuse", "l2")) != 1 || len(rec.of("send", "")) != 0 {
-		t.Fatalf("want two of three requests admitted and none sent: %+v", rec.acts)
+	if len(rec.find("admit", "")) != 2 || len(rec.find("refuse", "l2")) != 1 || len(rec.find("send", "")) != 0 {
+		t.Fatalf("want two of three requests admitted and none sent: %+v", rec.actions)
 	}
 	if remaining, ok := gw.RemainingUnits(100, "ada"); !ok || remaining != 2 {
 		t.Fatalf("%v units remain (known: %v), want 2 as admitted units stay charged", remaining, ok)
 	}
 	gw.Request(100, Request{ID: "w", Class: "pay", Plan: "basic", Customer: "ada", DeadlineAt: 102, Units: 2})
-	gw.Request(100, Request{ID: "l3", Class: "pay", Plan: "basic", Customer: "ada", DeadlineAt: 102, Units: 1, QuotaOnly: true})
-	if len(rec.of("send", "w")) != 1 || len(rec.of("refuse", "l3")) != 1 {
-		t.Fatalf("requests with and without QuotaOnly should share a quota: %+v", rec.acts)
+	gw.Request(100, Request{ID: "l3", Class: "pay", Plan: "basic", Customer: "ada", DeadlineAt: 102, Units: 1,
+		QuotaOnly: true})
+	if len(rec.find("send", "w")) != 1 || len(rec.find("refuse", "l3")) != 1 {
+		t.Fatalf("requests with and without QuotaOnly should share a quota: %+v", rec.actions)
 	}
 	if _, ok := gw.RemainingUnits(100, "eve"); ok {
 		t.Fatal("remaining units of an unknown customer")
@@ -846,36 +875,38 @@
 // A member that cannot decide on a request for units only asks the owner, as for any other request, and falls
 // back to its local window when the owner is silent.
 func TestQuotaOnlyRequestWaitsForTheOwner(t *testing.T) {
-	gw, rec := gateway(t, nil)
+	gw, rec := newTestGateway(t, nil)
 	name := ""
 	for i := 0; name == ""; i++ {
-		if c := gw.customerOf(Request{Customer: fmt.Sprint("c", i), Plan: "basic", GatewayCount: 2}); c.primary == 1 {
+		if c := gw.customerOf(Request{Customer: fmt.Sprint("c", i), Plan: "basic",
+			GatewayCount: 2}); c.primary == 1 {
 			name = fmt.Sprint("c", i)
 		}
 	}
-	gw.Request(100, Request{ID: "l", Class: "read", Plan: "basic", Customer: name, DeadlineAt: 102, GatewayCount: 2, Units: 5, QuotaOnly: true})
-	if len(rec.of("tell", "")) != 1 || len(rec.of("admit", "l")) != 0 {
-		t.Fatalf("want the owner asked first: %+v", rec.acts)
+	gw.Request(100, Request{ID: "l", Class: "read", Plan: "basic", Customer: name, DeadlineAt: 102,
+		GatewayCount: 2, Units: 5, QuotaOnly: true})
+	if len(rec.find("tell", "")) != 1 || len(rec.find("admit", "l")) != 0 {
+		t.Fatalf("want the owner asked first: %+v", rec.actions)
 	}
 	for x := 100.0; x < 101; x += 0.02 {
 		gw.Timer(x, 1)
 	}
-	if len(rec.of("admit", "l"))+len(rec.of("refuse", "l")) != 1 {
-		t.Fatalf("want one answer although the owner is silent: %+v", rec.acts)
+	if len(rec.find("admit", "l"))+len(rec.find("refuse", "l")) != 1 {
+		t.Fatalf("want one answer although the owner is silent: %+v", rec.actions)
 	}
 }
 
 // A keyed request with a home server is sent to that server's group only, whatever capacity others have.
 func TestHomeServerIsKept(t *testing.T) {
-	gw, rec := gateway(t, nil)
+	gw, rec := newTestGateway(t, nil)
 	for i := range 20 {
-		gw.Request(100, Request{ID: fmt.Sprint("k", i), Class: "put", Plan: "wide", Customer: "ada", DeadlineAt: 104,
-			Units: 1, GatewayCount: 1, HomeServer: "s3"})
+		gw.Request(100, Request{ID: fmt.Sprint("k", i), Class: "put", Plan: "wide", Customer: "ada",
+			DeadlineAt: 104, Units: 1, GatewayCount: 1, HomeServer: "s3"})
 	}
-	if len(rec.of("send", "")) == 0 {
+	if len(rec.find("send", "")) == 0 {
 		t.Fatal("nothing was sent")
 	}
-	for _, a := range rec.of("send", "") {
+	for _, a := range rec.find("send", "") {
 		if a.server != "s3" {
 			t.Fatalf("sent to %s, outside the home zone", a.server)
 		}
@@ -885,42 +916,45 @@
 // A request whose key may have run before is sent only to the group that remembers the key and only while it
 // does. It is never refused as safe to retry.
 func TestEarlierRunOfAKey(t *testing.T) {
-	gw, rec := gateway(t, nil)
+	gw, rec := newTestGateway(t, nil)
 	put := func(id string, ranAt float64) {
-		gw.Request(gw.now, Request{ID: id, Class: "put", Plan: "wide", Customer: "ada", DeadlineAt: gw.now + 4, Units: 1, GatewayCount: 1,
-			EarlierServer: "s3", EarlierSentAt: ranAt})
+		gw.Request(gw.now, Request{ID: id, Class: "put", Plan: "wide", Customer: "ada", DeadlineAt: gw.now + 4,
+			Units: 1, GatewayCount: 1, EarlierServer: "s3", EarlierSentAt: ranAt})
 	}
 	put("soon", 99.5)
-	if a := rec.of("send", "soon"); len(a) != 1 || a[0].server != "s3" {
-		t.Fatalf("want one send to the zone of s3: %+v", rec.acts)
+	if a := rec.find("send", "soon"); len(a) != 1 || a[0].server != "s3" {
+		t.Fatalf("want one send to the zone of s3: %+v", rec.actions)
 	}
 	put("late", 97.9) // the group does not remember the key any more
-	if len(rec.of("send", "late")) != 0 || len(rec.of("fail", "late")) != 1 {
-		t.Fatalf("want late failed unsent: %+v", rec.acts)
+	if len(rec.find("send", "late")) != 0 || len(rec.find("fail", "late")) != 1 {
+		t.Fatalf("want late failed unsent: %+v", rec.actions)
 	}
 	gw.Servers(100, []Server{{ID: "s3", Zone: "b", Cell: 3, State: Draining}}, false)
 	put("gone", 99.5)
 	for x := 100.0; x < 104.1; x += 0.02 {
 		gw.Timer(x, 1)
 	}
-	if len(rec.of("send", "gone")) != 0 || len(rec.of("refuse", "gone")) != 0 || len(rec.of("fail", "gone")) != 1 {
-		t.Fatalf("want gone failed, not refused: %+v", rec.acts)
+	if len(rec.find("send", "gone")) != 0 || len(rec.find("refuse", "gone")) != 0 ||
+		len(rec.find("fail", "gone")) != 1 {
+		t.Fatalf("want gone failed, not refused: %+v", rec.actions)
 	}
 }
 
 // Returned units can be used again.
 func TestReturnUnits(t *testing.T) {
-	gw, rec := gateway(t, func(s *Settings) { s.Gateways, s.PeerMessages = 1, false })
+	gw, rec := newTestGateway(t, func(s *Settings) { s.Gateways, s.PeerMessages = 1, false })
 	ask := func(id string) {
-		gw.Request(100, Request{ID: id, Class: "pay", Plan: "basic", Customer: "ada", DeadlineAt: 102, Units: 8, QuotaOnly: true})
+		gw.Request(100, Request{ID: id, Class: "pay", Plan: "basic", Customer: "ada", DeadlineAt: 102, Units: 8,
+			QuotaOnly: true})
 	}
 	ask("a")
 	ask("b")
 	gw.ReturnUnits(100, "ada", 8)
 	gw.ReturnUnits(100, "eve", 8)
 	ask("c")
-	if len(rec.of("admit", "a")) != 1 || len(rec.of("refuse", "b")) != 1 || len(rec.of("admit", "c")) != 1 {
-		t.Fatalf("%+v", rec.acts)
+	if len(rec.find("admit", "a")) != 1 || len(rec.find("refuse", "b")) != 1 ||
+		len(rec.find("admit", "c")) != 1 {
+		t.Fatalf("%+v", rec.actions)
 	}
 	if remaining, _ := gw.RemainingUnits(100, "ada"); remaining != 0 {
 		t.Fatalf("%v units remain, want 0", remaining)
@@ -930,21 +964,22 @@
 // In a sudden burst a member admits no more than its split until the owner has replied, and reports at once
 // rather than with the next batch. Both gateways used to admit nearly all remaining units each.
 func TestBurstIsLimitedToTheSplit(t *testing.T) {
-	gw, rec := gateway(t, nil)
+	gw, rec := newTestGateway(t, nil)
 	name := ""
 	for i := 0; name == ""; i++ {
-		if c := gw.customerOf(Request{Customer: fmt.Sprint("c", i), Plan: "basic", GatewayCount: 2}); c.primary == 1 {
+		if c := gw.customerOf(Request{Customer: fmt.Sprint("c", i), Plan: "basic",
+			GatewayCount: 2}); c.primary == 1 {
 			name = fmt.Sprint("c", i)
 		}
 	}
 	for i := range 8 {
-		gw.Request(100, Request{ID: fmt.Sprint("b", i), Class: "pay", Plan: "basic", Customer: name, DeadlineAt: 104, GatewayCount: 2,
-			Units: 1, QuotaOnly: true})
+		gw.Request(100, Request{ID: fmt.Sprint("b", i), Class: "pay", Plan: "basic", Customer: name,
+			DeadlineAt: 104, GatewayCount: 2, Units: 1, QuotaOnly: true})
 	}
-	if n := len(rec.of("admit", "")); n != 4 {
+	if n := len(rec.find("admit", "")); n != 4 {
 		t.Errorf("%d of a burst of 8 admitted without a reply, want this gateway's split of 4", n)
 	}
-	if n := len(rec.of("tell", "")); n != 2 {
+	if n := len(rec.find("tell", "")); n != 2 {
 		t.Errorf("%d messages, want 2: the report at half of the split, and the request to the owner", n)
 	}
 }
@@ -956,7 +991,7 @@
 	s := testSettings()
 	s.Gateways = n
 	for _, pauseS := range []float64{0, 0.31, 2, 4, 20} {
-		rec := &recorder{}
+		rec := &actionRecorder{}
 		gw, _ := New(s, 7, 100, rec)
 		gw.Servers(100, []Server{{ID: "s1"}, {ID: "s2"}}, true)
 		customerID := ""
@@ -967,12 +1002,12 @@
 			}
 		}
 		ask := func(now float64) (passed int) {
-			before := len(rec.of("admit", ""))
+			before := len(rec.find("admit", ""))
 			for i := range 20 {
-				gw.Request(now, Request{ID: fmt.Sprint("q", now, i), Class: "read", Plan: "basic", Customer: customerID, DeadlineAt: now + 10,
-					GatewayCount: n, Units: 1, QuotaOnly: true})
+				gw.Request(now, Request{ID: fmt.Sprint("q", now, i), Class: "read", Plan: "basic", Customer: customerID,
+					DeadlineAt: now + 10, GatewayCount: n, Units: 1, QuotaOnly: true})
 			}
-			return len(rec.of("admit", "")) - before
+			return len(rec.find("admit", "")) - before
 		}
 		now := 100.02
 		if got := ask(now); got < 5 { // a burst of 8, less what low-value work leaves to high-value work
@@ -996,10 +1031,10 @@
 // Memory stays bounded when the addresses of the list keep changing. A server that left the list stays known
 // while it may remember a key, or an attempt is in flight there.
 func TestServersThatLeftTheListAreForgotten(t *testing.T) {
-	gw, rec := gateway(t, alone)
+	gw, rec := newTestGateway(t, singleGateway)
 	gw.Servers(100, []Server{{ID: "old", Zone: "z"}}, true)
-	ask(gw, 100, "q", "read", "wide", 1)
-	if len(rec.of("send", "q")) != 1 {
+	sendRequest(gw, 100, "q", "read", "wide", 1)
+	if len(rec.find("send", "q")) != 1 {
 		t.Fatal("not sent")
 	}
 	now := 100.0
@@ -1012,7 +1047,8 @@
 		gw.Servers(now, list, true)
 		gw.Timer(now, 1)
 	}
-	if limit := 100 * int(forgetAfterS+forgetAfterS/4+3); len(gw.servers) > limit || len(gw.serversByHash) > limit {
+	if limit := 100 * int(forgetAfterS+forgetAfterS/4+3); len(gw.servers) > limit ||
+		len(gw.serversByHash) > limit {
 		t.Errorf("%d servers and %d hashes kept, want at most %d", len(gw.servers), len(gw.serversByHash), limit)
 	}
 	if gw.servers["old"] == nil {
@@ -1030,11 +1066,11 @@
 // One broken connection does not mean that the server is unhealthy. Over real sockets, each broken connection
 // used to take a healthy server out of use for up to a second, and most refusals were for lack of a server.
 func TestOneBrokenConnectionDoesNotImplicateTheServer(t *testing.T) {
-	gw, rec := gateway(t, alone)
+	gw, rec := newTestGateway(t, singleGateway)
 	gw.Servers(100, []Server{{ID: "s1", Zone: "a"}}, true)
 	step := func(now float64, id string, s Status) (sent bool) {
-		ask(gw, now, id, "pay", "wide", 1)
-		if sent = len(rec.of("send", id)) == 1; sent {
+		sendRequest(gw, now, id, "pay", "wide", 1)
+		if sent = len(rec.find("send", id)) == 1; sent {
 			gw.Outcome(now+0.1, Outcome{ID: id, Server: "s1", Status: s, ElapsedS: 0.1})
 		}
 		return sent
@@ -1094,12 +1130,12 @@
 		min, max int  // units sent of a quota of 48 in 20 s without a ceiling, and of 220 with one
 	}{{"basic", true, 40, 56}, {"basic", false, 10, 30}, {"capped", true, 90, 120}, {"capped", false, 60, 120}} {
 		var gw *Gateway
-		var rec *recorder
+		var rec *actionRecorder
 		customer := ""
 		for k := 0; ; k++ { // a customer whose owner is gateway 1 and whose stand-in is gateway 0
 			s := testSettings()
 			s.Gateways = 3
-			rec = &recorder{}
+			rec = &actionRecorder{}
 			gw, _ = New(s, 7, 100, rec)
 			gw.Servers(100, []Server{{ID: "s1", Zone: "a"}, {ID: "s2", Zone: "a"}}, true)
 			customer = fmt.Sprint("c", k)
@@ -1121,13 +1157,15 @@
 				gw.PeerMessage(now, 2, b)
 			}
 			if i%2 == 0 {
-				gw.Request(now, Request{ID: fmt.Sprint("q", i), Class: "read", Plan: c.plan, Customer: customer, DeadlineAt: now + 2, GatewayCount: 3, Units: 1})
+				gw.Request(now, Request{ID: fmt.Sprint("q", i), Class: "read", Plan: c.plan, Customer: customer,
+					DeadlineAt: now + 2, GatewayCount: 3, Units: 1})
 			}
 			gw.Timer(now, 1)
-			served(gw, rec, &seen, now)
+			answerAll(gw, rec, &seen, now)
 		}
-		if n := len(rec.of("send", "")); n < c.min || n > c.max {
-			t.Errorf("%s, third gateway heard from: %v: %d units sent in 20 s, want %d to %d", c.plan, c.others, n, c.min, c.max)
+		if n := len(rec.find("send", "")); n < c.min || n > c.max {
+			t.Errorf("%s, third gateway heard from: %v: %d units sent in 20 s, want %d to %d", c.plan, c.others, n,
+				c.min, c.max)
 		}
 	}
 }
@@ -1137,15 +1175,16 @@
 // suspected in turn; the remaining ones were overloaded.
 func TestTimeoutCountsByWaitingTime(t *testing.T) {
 	suspicionAfter := func(spent float64) float64 {
-		gw, rec := gateway(t, alone)
+		gw, rec := newTestGateway(t, singleGateway)
 		gw.classesByName["read"].latencyS = 0.1
-		ask(gw, 100, "q", "read", "wide", 1)
-		s := rec.of("send", "q")[0].server
+		sendRequest(gw, 100, "q", "read", "wide", 1)
+		s := rec.find("send", "q")[0].server
 		gw.Outcome(100+spent, Outcome{ID: "q", Server: s, Status: Timeout, ElapsedS: spent})
 		return gw.suspicionOf(gw.servers[s], gw.classesByName["read"])
 	}
 	if short, long := suspicionAfter(0.15), suspicionAfter(0.6); short > 0.1 || long < 0.4 {
-		t.Errorf("suspicion %.2f after 1.5 mean latencies, %.2f after 6, want at most 0.1 and about half", short, long)
+		t.Errorf("suspicion %.2f after 1.5 mean latencies, %.2f after 6, want at most 0.1 and about half", short,
+			long)
 	}
 }
 
@@ -1153,13 +1192,14 @@
 // for a class whose base latency is a third of it does.
 func TestLimitFollowsQueueing(t *testing.T) {
 	limit := func(first, then float64) float64 {
-		gw, rec := gateway(t, alone)
+		gw, rec := newTestGateway(t, singleGateway)
 		n := 0
 		one := func(spent float64) {
 			n++
 			id, now := fmt.Sprint("q", n), 100+float64(n)*0.02
-			ask(gw, now, id, "read", "wide", 1)
-			gw.Outcome(now+0.01, Outcome{ID: id, Server: rec.of("send", id)[0].server, Status: OK, RequestEnded: true, ElapsedS: spent})
+			sendRequest(gw, now, id, "read", "wide", 1)
+			gw.Outcome(now+0.01, Outcome{ID: id, Server: rec.find("send", id)[0].server, Status: OK,
+				RequestEnded: true, ElapsedS: spent})
 		}
 		for range 30 {
 			one(first)
@@ -1182,15 +1222,15 @@
 // overloaded for a moment used to be avoided by the whole fleet for seconds, one after the other, and the
 // remaining ones were overloaded.
 func TestAnswerOfASuspectedServerIsGossiped(t *testing.T) {
-	a, recA, ask := asMember(t, fleet(100))
-	b, _ := gateway(t, func(s *Settings) { s.Gateways, s.Self = 100, 1 })
+	a, recA, ask := newTestMember(t, fleetOf(100))
+	b, _ := newTestGateway(t, func(s *Settings) { s.Gateways, s.Self = 100, 1 })
 	for _, gw := range []*Gateway{a, b} {
 		gw.servers["s2"].suspicions[gw.classesByName["read"].index] = suspicion{0.9, 99}
 	}
 	answered := &requestState{class: a.classesByName["read"]}
 	a.learn(answered, &attemptState{server: a.servers["s2"], sentAt: 99.9}, Outcome{Status: OK, ElapsedS: 0.1})
 	ask(100, "q", 2)
-	b.PeerMessage(100.01, 0, recA.of("tell", "")[0].data)
+	b.PeerMessage(100.01, 0, recA.find("tell", "")[0].data)
 	for name, gw := range map[string]*Gateway{"the gateway that got the answer": a, "the other gateway": b} {
 		if x := gw.suspicionOf(gw.servers["s2"], gw.classesByName["read"]); x > 0.01 {
 			t.Errorf("%s still suspects the server: %.2f", name, x)
@@ -1204,12 +1244,12 @@
 		level float64
 		want  string
 	}{{0.1, "s1"}, {0.9, "s2"}} {
-		gw, rec := gateway(t, alone)
+		gw, rec := newTestGateway(t, singleGateway)
 		gw.Servers(100, []Server{{ID: "s3", State: Draining}}, false)
 		gw.servers["s1"].suspicions[gw.classesByName["read"].index] = suspicion{c.level, 100}
 		gw.servers["s2"].inFlight, gw.inFlight, gw.limit = 2, 2, 30
-		ask(gw, 100, "q", "read", "wide", 1)
-		if got := rec.of("send", "q"); len(got) != 1 || got[0].server != c.want {
+		sendRequest(gw, 100, "q", "read", "wide", 1)
+		if got := rec.find("send", "q"); len(got) != 1 || got[0].server != c.want {
 			t.Errorf("suspicion %v: sent %+v, want it sent to %s", c.level, got, c.want)
 		}
 	}
