--- a/policy/policy.go
+++ b/policy/policy.go
@@ -33,7 +33,7 @@
 	// Unresponsive peers, and pauses of this process.
 	maxUnansweredReports = 2   // unanswered reports after which a peer is silent and is skipped on the ring
 	silentPeerRetryS     = 1.0 // time for which it is skipped
-	peerContactS         = 2.0 // a peer that was heard from within this time is reachable
+	peerReachableS       = 2.0 // a peer that was heard from within this time is reachable
 	minPauseS            = 0.1 // without an event for so long, this gateway itself was paused
 	minTakeoverPauseS    = 0.3 // after so long a pause, peers may have used the next gateway on the ring
 
@@ -95,10 +95,10 @@
 	minCommonArrivals  = 10    // requests of a class that must be known before client retries are recognized
 	deadlineBinCount   = 101   // histogram bins for the share of the deadline that is left on arrival
 	hedgeTargetShare   = 0.4   // share of the target latency before which no attempt is hedged
-	refusedPauseS      = 0.5   // a server that refuses connections is not used for this time at least
+	connectRetryS      = 0.5   // a server that refuses connections is not used for this time at least
 	timeoutWeight      = 0.15  // weight of one timeout in a server's latency ratio and in the limit
 	loadDecayS         = 1.0   // time constant of the average load that this gateway puts on a server
-	deadlineMarginS    = 0.004 // an answer is awaited for this time at least
+	minAnswerTimeoutS  = 0.004 // an answer is awaited for this time at least
 )
 
 // New returns a gateway in its initial state. The list of servers is passed to Servers afterwards.
@@ -232,9 +232,9 @@
 	if gw.capacityShare(server) < 1 {
 		server.coldSends = append(server.coldSends, sentWork{gw.now, request.class.latencyS})
 	} else {
-		gw.warmWorkRate += request.class.latencyS / (demandDecayS * float64(max(1, len(gw.listed))))
+		gw.warmWorkRate += request.class.latencyS / (demandDecayS * float64(max(1, len(gw.listedServers))))
 	}
-	answer := max(request.giveUpAt()-gw.now, deadlineMarginS)
+	answer := max(request.giveUpAt()-gw.now, minAnswerTimeoutS)
 	gw.actions.Send(request.ID, server.ID,
 		Timing{StartWithinS: min(answer, gw.repeatWindowS(request)), AnswerWithinS: answer})
 }
@@ -440,7 +440,7 @@
 func (gw *Gateway) hearsMostPeers() bool {
 	n := 0
 	for i := range gw.peers {
-		if i != gw.settings.Self && gw.now-gw.peers[i].heardAt < peerContactS {
+		if i != gw.settings.Self && gw.now-gw.peers[i].heardAt < peerReachableS {
 			n++
 		}
 	}
@@ -543,8 +543,8 @@
 			gw.reportTokens--
 			gw.sendReports(i)
 		}
-		peer.listed = len(peer.reports) > 0
-		return !peer.listed
+		peer.inPeersDue = len(peer.reports) > 0
+		return !peer.inPeersDue
 	})
 }
 
@@ -624,10 +624,10 @@
 				}
 			}
 		}
-		customer.listed = customer.unansweredSince > 0
+		customer.inAwaitingReply = customer.unansweredSince > 0
 	}
 	gw.awaitingReply = slices.DeleteFunc(gw.awaitingReply,
-		func(customer *customerState) bool { return !customer.listed })
+		func(customer *customerState) bool { return !customer.inAwaitingReply })
 }
 
 // localWindowFits decides when no owner replies, by the count of this gateway alone. Only its part of
@@ -820,13 +820,13 @@
 // Servers handles a list of servers: the whole list, or only the entries that changed.
 func (gw *Gateway) Servers(now float64, list []Server, whole bool) {
 	gw.advance(now)
-	before := float64(max(1, len(gw.listed)))
+	before := float64(max(1, len(gw.listedServers)))
 	gw.updateServers(list, whole, func(server *trackedServer) {
 		server.latencyRatio, server.downUntil = 1, 0
 		clear(server.suspicions)
 	})
-	gw.serversPerGateway = float64(len(gw.listed)) / float64(gw.settings.Gateways)
-	gw.limit *= float64(max(1, len(gw.listed))) / before
+	gw.serversPerGateway = float64(len(gw.listedServers)) / float64(gw.settings.Gateways)
+	gw.limit *= float64(max(1, len(gw.listedServers))) / before
 	gw.drainQueue()
 }
 
@@ -863,10 +863,10 @@
 	}
 	// In a large fleet each gateway considers a few servers only: otherwise all gateways would pick the
 	// same server on the same load reports.
-	n := len(gw.listed)
+	n := len(gw.listedServers)
 	candidates, start := max(minCandidates, n*allCandidatesFleet/gw.settings.Gateways), gw.rng.IntN(max(1, n))
 	for k := 0; k < n && candidates > 0; k++ {
-		server := gw.listed[(start+k)%n]
+		server := gw.listedServers[(start+k)%n]
 		if server.State != Up || gw.now < server.downUntil ||
 			!gw.slowStartAllows(server, request.class.latencyS) ||
 			float64(server.inFlight) >= math.Ceil(serverShareWeight*gw.limit/float64(n)/server.latencyRatio) ||
@@ -971,7 +971,7 @@
 			break // only a second broken connection without an answer in between implicates the server
 		}
 		gw.suspect(server, nil, errorSuspicion)
-		server.downUntil = gw.now + refusedPauseS*(1+gw.rng.Float64())
+		server.downUntil = gw.now + connectRetryS*(1+gw.rng.Float64())
 	}
 	if !general {
 		return
@@ -1050,7 +1050,7 @@
 		return
 	}
 	next, oldest := (*trackedServer)(nil), gw.now-probeIntervalS
-	for _, server := range gw.listed {
+	for _, server := range gw.listedServers {
 		if at := max(server.probedAt, server.utilAt); server.State == Up && at <= oldest {
 			next, oldest = server, at
 		}
--- a/policy/state.go
+++ b/policy/state.go
@@ -59,7 +59,7 @@
 
 // updateServers applies a list of servers and calls restarted for each server that has started anew.
 func (gw *Gateway) updateServers(list []Server, whole bool, restarted func(*trackedServer)) {
-	for _, server := range gw.listed {
+	for _, server := range gw.listedServers {
 		server.listed = server.listed && !whole
 	}
 	for _, entry := range list {
@@ -74,14 +74,14 @@
 		}
 		server.Server, server.listed = entry, entry.State != Removed
 	}
-	gw.listed = gw.listed[:0]
+	gw.listedServers = gw.listedServers[:0]
 	for _, server := range gw.servers {
 		if server.listed {
-			gw.listed = append(gw.listed, server)
+			gw.listedServers = append(gw.listedServers, server)
 			server.lastListedAt = gw.now
 		}
 	}
-	slices.SortFunc(gw.listed, func(a, b *trackedServer) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(gw.listedServers, func(a, b *trackedServer) int { return cmp.Compare(a.ID, b.ID) })
 }
 
 // indexByHash makes a server known by its hash. When two servers share a hash, updates for it are ignored.
@@ -157,7 +157,7 @@
 	reportedAwaiting           int             // how many of them were reported to the owner
 	timeouts                   int
 	unansweredSince            float64 // since when a report is unanswered, 0: none
-	listed                     bool    // in Gateway.awaitingReply
+	inAwaitingReply            bool    // in Gateway.awaitingReply
 	reportDue                  bool
 	reportTo                   int // gateway that the report goes to
 	ceilingUnits, ceilingAt    float64
@@ -218,7 +218,7 @@
 	bootID       uint8
 	seq          uint16
 	reports      []*customerState
-	listed       bool // in Gateway.peersDue
+	inPeersDue   bool // in Gateway.peersDue
 	urgent       bool // a request waits for the peer's reply
 }
 
@@ -258,7 +258,7 @@
 	plans                []*planState
 	plansByName          map[string]*planState
 	servers              map[string]*trackedServer
-	listed               []*trackedServer
+	listedServers        []*trackedServer
 	requests             map[string]*requestState
 	liveRequests         []*requestState
 	queue                []*requestState
@@ -381,8 +381,8 @@
 
 // awaitReply has checkUnanswered look after the customer's reports until they are answered.
 func (gw *Gateway) awaitReply(customer *customerState) {
-	if !customer.listed {
-		customer.listed = true
+	if !customer.inAwaitingReply {
+		customer.inAwaitingReply = true
 		gw.awaitingReply = append(gw.awaitingReply, customer)
 	}
 }
@@ -402,7 +402,7 @@
 // meanUtil returns the mean utilization of the servers' cores by recent load reports, if there are any.
 func (gw *Gateway) meanUtil() (mean float64, fresh bool) {
 	n := 0.0
-	for _, server := range gw.listed {
+	for _, server := range gw.listedServers {
 		if gw.now-server.utilAt < utilFreshS {
 			n++
 			mean += server.util
@@ -561,8 +561,8 @@
 	peer := &gw.peers[gateway]
 	customer.reportDue, customer.reportTo = true, gateway
 	peer.reports = append(peer.reports, customer)
-	if !peer.listed {
-		peer.listed = true
+	if !peer.inPeersDue {
+		peer.inPeersDue = true
 		gw.peersDue = append(gw.peersDue, gateway)
 	}
 }
@@ -607,7 +607,7 @@
 
 // ServerEstimates returns the estimates for all listed servers, sorted by ID. It changes no state.
 func (gw *Gateway) ServerEstimates(now float64) (list []ServerEstimate) {
-	for _, server := range gw.listed {
+	for _, server := range gw.listedServers {
 		estimate := ServerEstimate{Server: server.Server, InFlight: server.inFlight,
 			LatencyRatio: server.latencyRatio, Util: server.util, UtilAgeS: now - server.utilAt}
 		for _, class := range gw.classes {
