--- a/internal/backend/probe.go
+++ b/internal/backend/probe.go
@@ -26,7 +26,7 @@
 	pr := &probe{at: time.Now()}
 	b.probing = pr
 	p.work.Add(1)
-	pr.timer = time.AfterFunc(2*p.opt.Connect, func() {
+	pr.timer = time.AfterFunc(2*p.opt.ConnectTimeout, func() {
 		defer p.work.Done()
 		b.mu.Lock()
 		if b.probing != pr {
--- a/internal/links/links.go
+++ b/internal/links/links.go
@@ -30,8 +30,8 @@
 	Pipeline    int // attempts awaited on one of them, 1 at least
 	// RestS is how long a connection is not used after an answer while another one can be had: more than belongs
 	// to the answer may still come, and would be taken for the next one's.
-	RestS float64
-	IdleS float64 // a connection that has stood idle for so long is closed and not used any more, 0: none is
+	ReuseDelayS  float64
+	IdleTimeoutS float64 // a connection that has stood idle for so long is closed and not used any more, 0: none is
 }
 
 // Box is the connections to one box. It is not safe for concurrent use.
@@ -134,9 +134,9 @@
 		n := len(l.flights) - l.setups
 		switch {
 		case l.closed || l.last || l.dead > 0:
-		case n == 0 && b.lim.IdleS > 0 && now-l.usedAt > b.lim.IdleS:
+		case n == 0 && b.lim.IdleTimeoutS > 0 && now-l.usedAt > b.lim.IdleTimeoutS:
 			b.close(l) // the box may be closing it, which would reset whatever is written now
-		case n == 0 && l.rests && now-l.usedAt < b.lim.RestS:
+		case n == 0 && l.rests && now-l.usedAt < b.lim.ReuseDelayS:
 			if resting == nil || l.usedAt < resting.usedAt {
 				resting = l
 			}
@@ -377,7 +377,7 @@
 // Sweep closes connections that have stood idle for too long.
 func (b *Box) Sweep(now float64) {
 	for _, l := range b.links {
-		if b.lim.IdleS > 0 && len(l.flights) == 0 && now-l.usedAt > b.lim.IdleS {
+		if b.lim.IdleTimeoutS > 0 && len(l.flights) == 0 && now-l.usedAt > b.lim.IdleTimeoutS {
 			b.close(l)
 		}
 	}
--- a/internal/links/links_test.go
+++ b/internal/links/links_test.go
@@ -251,7 +251,7 @@
 // A connection that has answered is left alone for a while, and used all the same where no other can be had.
 func TestRestsAfterAnAnswer(t *testing.T) {
 	w := newWire()
-	b := New(Limits{Connections: 2, Pipeline: 1, RestS: 1}, w)
+	b := New(Limits{Connections: 2, Pipeline: 1, ReuseDelayS: 1}, w)
 	b.Send(0, at(0), []byte{0}, till(0, 10))
 	x := b.Opened(0, nil, 0)
 	b.Answered(2, x)
@@ -326,7 +326,7 @@
 // Idle connections are closed before the box does so, and not used while that is under way.
 func TestIdleConnectionsGo(t *testing.T) {
 	w := newWire()
-	b := New(Limits{Connections: 1, Pipeline: 1, IdleS: 5}, w)
+	b := New(Limits{Connections: 1, Pipeline: 1, IdleTimeoutS: 5}, w)
 	b.Send(0, at(0), []byte{0}, till(0, 100))
 	x := b.Opened(0, nil, 0)
 	b.Sweep(20) // out: not idle
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -122,7 +122,7 @@
 func (l *Link) listen(at *net.UDPAddr) error {
 	ctx, cancel := context.WithTimeout(context.Background(), listenFor)
 	defer cancel()
-	err := syserr.Retry(ctx, syserr.Busy, func() (err error) {
+	err := syserr.Retry(ctx, syserr.ListenRetryable, func() (err error) {
 		l.conn, err = net.ListenUDP("udp", at)
 		return err
 	})
