--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -1,12 +1,13 @@
-// Package intake decides how much unfinished input the connections of an instance may hold in memory, and
-// who waits when there is no room for more. It has no I/O, no clock and no goroutine.
+// Package intake bounds the memory that unfinished input takes over all connections of an instance, and decides which
+// connections wait when the limit is reached. It has no I/O, no clock and no goroutine.
 //
-// A command announces its size before its bytes come. A connection that needs more than Limits.Free for it
-// asks first and is read no further until it is granted: bytes that wait stay in the sockets. What is
-// granted is enough for the whole argument, so that a grant ends by itself; the smallest go first, but none
-// passes one that has waited for Limits.PassS. Arguments are asked for one after the other, so those that
-// hold one and wait for the next could hold each other up: the one that has waited longest may then use
-// Limits.Reserve, which is kept for one at a time.
+// A command announces its size before its bytes arrive. A connection that needs more than Limits.FreeBytes for it asks
+// the Pool first, and is not read until the Pool grants the memory; meanwhile its bytes stay in the socket buffer. A
+// grant covers the whole argument, so it does not depend on a further grant to be released. The smallest requests
+// are granted first, but none overtakes a connection that has waited for Limits.MaxOvertakeS. A command requests the
+// memory of its arguments one after the other, so connections that hold memory for one argument while they wait for
+// the next could block each other. Therefore the connection that has waited longest may use Limits.ReserveBytes,
+// which is kept for one connection at a time.
 package intake
 
 import (
@@ -14,190 +15,196 @@
 	"slices"
 )
 
-// Limits bound what is held. Bytes, each 1 at least.
+// Limits bound the input memory. Each number of bytes is at least 1.
 type Limits struct {
-	Free      int     // a connection that has logged in holds so much without asking
-	Total     int     // of all that asked
-	Reserve   int     // beyond Total, for one at a time: the largest command
-	Strangers int     // of all that have not logged in
-	PassS     float64 // seconds after which a waiting connection is passed by none
+	Free      int     // that an authenticated connection may hold without a grant
+	Total     int     // of all grants, without the reserve
+	Reserve   int     // beyond TotalBytes, for one connection at a time: the size of the largest command
+	Strangers int     // of all connections that have not authenticated
+	PassS     float64 // seconds after which no other connection overtakes a waiting one
 }
 
-// Verdict is the answer to a connection that wants to hold input.
+// Decision is the answer to a connection that needs memory for input.
 type Verdict int
 
-// The verdicts.
+// The decisions.
 const (
-	Go   Verdict = iota // read on
-	Wait                // read no more until granted
-	Cut                 // there is no room for strangers
+	Go   Verdict = iota // continue to read
+	Wait                // do not read until granted
+	Cut                 // close the connection: the memory for unauthenticated connections is used up
 )
 
-// Pool is the state of all connections that hold more than they may unasked. It is not safe for concurrent use.
+// Pool holds the grants of all connections and the connections that wait for one. It is not safe for concurrent use.
 type Pool struct {
-	lim       Limits
-	held      map[uint64]int // granted, by connection
-	used      int            // of Total
-	reserved  uint64         // the connection that has the reserve, 0: none
-	inReserve int            // bytes of its grants that are
-	strangers map[uint64]int
-	strange   int
-	waiting   map[uint64]*waiter
-	bySize    sizes
-	byAge     []*waiter // in the order in which they came; those that have gone on are skipped
+	lim                  Limits
+	granted              map[uint64]int // bytes by connection
+	used                 int            // bytes of TotalBytes in use
+	reserveHolder        uint64         // the connection that uses the reserve, 0: none
+	reserveUsed          int            // bytes of the reserve in use
+	unauthenticated      map[uint64]int // bytes by connection
+	unauthenticatedBytes int
+	waiting              map[uint64]*waiter
+	bySize               sizeHeap
+	byAge                []*waiter // in the order of arrival; may still contain waiters that have been granted or removed
 }
 
 type waiter struct {
 	id    uint64
-	bytes int // in all, with what it holds
-	more  int
+	total int // bytes that the connection needs, with those that it holds
+	more  int // bytes that it needs in addition
 	since float64
-	index int // in bySize, -1: waits no more
+	index int // in bySize, -1: no longer waiting
 }
 
 // New returns an empty pool.
 func New(lim Limits) *Pool {
-	return &Pool{lim: lim, held: map[uint64]int{}, strangers: map[uint64]int{}, waiting: map[uint64]*waiter{}}
+	return &Pool{lim: lim, granted: map[uint64]int{}, unauthenticated: map[uint64]int{}, waiting: map[uint64]*waiter{}}
 }
 
-// Stranger tells whether a connection that has not logged in may hold so many bytes.
-func (p *Pool) Stranger(id uint64, bytes int) Verdict {
-	now := p.strange - p.strangers[id] + bytes
-	if now > p.lim.Strangers {
+// HoldUnauthenticated decides whether a connection that has not authenticated may hold that many bytes, and records
+// them if so. With 0 bytes it forgets the connection.
+func (pool *Pool) Stranger(id uint64, bytes int) Verdict {
+	newTotal := pool.unauthenticatedBytes - pool.unauthenticated[id] + bytes
+	if newTotal > pool.lim.Strangers {
 		return Cut
 	}
-	p.strange = now
-	if p.strangers[id] = bytes; bytes == 0 {
-		delete(p.strangers, id)
+	pool.unauthenticatedBytes = newTotal
+	if pool.unauthenticated[id] = bytes; bytes == 0 {
+		delete(pool.unauthenticated, id)
 	}
 	return Go
 }
 
-// Ask tells whether a connection, not 0, may hold so many bytes in all. After Wait it is among those that a
-// later call returns, unless it leaves first. It returns the others that may go on by now.
-func (p *Pool) Ask(now float64, id uint64, bytes int) (Verdict, []uint64) {
-	if bytes <= p.lim.Free || bytes <= p.held[id] {
+// Acquire decides whether a connection, whose id is not 0, may hold that many bytes in total. After Wait, a later call
+// of a method of the pool returns the connection once it is granted, unless it is removed first. Acquire also returns
+// the other connections that may continue now.
+func (pool *Pool) Ask(now float64, id uint64, bytes int) (Verdict, []uint64) {
+	if bytes <= pool.lim.Free || bytes <= pool.granted[id] {
 		return Go, nil
 	}
-	if p.waiting[id] != nil {
+	if pool.waiting[id] != nil {
 		return Wait, nil
 	}
-	w := &waiter{id: id, bytes: bytes, more: bytes - p.held[id], since: now}
-	p.waiting[id] = w
-	heap.Push(&p.bySize, w)
-	p.byAge = append(p.byAge, w)
-	granted := p.Tick(now)
+	w := &waiter{id: id, total: bytes, more: bytes - pool.granted[id], since: now}
+	pool.waiting[id] = w
+	heap.Push(&pool.bySize, w)
+	pool.byAge = append(pool.byAge, w)
+	granted := pool.Tick(now)
 	if i := slices.Index(granted, id); i >= 0 {
 		return Go, slices.Delete(granted, i, i+1)
 	}
 	return Wait, granted
 }
 
-// Done takes back all that a connection held: its commands are whole. It returns those that may go on.
-func (p *Pool) Done(now float64, id uint64) []uint64 {
-	if p.held[id] == 0 {
+// Release takes back all that a connection was granted, because its commands are complete. It returns the connections
+// that may continue now.
+func (pool *Pool) Done(now float64, id uint64) []uint64 {
+	if pool.granted[id] == 0 {
 		return nil
 	}
-	p.free(id)
-	return p.Tick(now)
+	pool.releaseGrant(id)
+	return pool.Tick(now)
 }
 
-// Leave forgets a connection. It returns those that may go on.
-func (p *Pool) Leave(now float64, id uint64) []uint64 {
-	_ = p.Stranger(id, 0)
-	if w := p.waiting[id]; w != nil {
-		p.drop(w)
-	} else if p.held[id] == 0 {
+// Remove forgets a connection. It returns the connections that may continue now.
+func (pool *Pool) Leave(now float64, id uint64) []uint64 {
+	_ = pool.Stranger(id, 0)
+	if w := pool.waiting[id]; w != nil {
+		pool.removeWaiter(w)
+	} else if pool.granted[id] == 0 {
 		return nil
 	}
-	p.free(id)
-	return p.Tick(now)
+	pool.releaseGrant(id)
+	return pool.Tick(now)
 }
 
-// free returns what a connection holds to the room.
-func (p *Pool) free(id uint64) {
-	n := p.held[id]
-	if p.reserved == id {
-		n -= p.inReserve
-		p.reserved, p.inReserve = 0, 0
+// releaseGrant returns the bytes of a connection to the total and to the reserve.
+func (pool *Pool) releaseGrant(id uint64) {
+	bytes := pool.granted[id]
+	if pool.reserveHolder == id {
+		bytes -= pool.reserveUsed
+		pool.reserveHolder, pool.reserveUsed = 0, 0
 	}
-	p.used -= n
-	delete(p.held, id)
+	pool.used -= bytes
+	delete(pool.granted, id)
 }
 
-func (p *Pool) drop(w *waiter) {
-	heap.Remove(&p.bySize, w.index)
-	delete(p.waiting, w.id)
+func (pool *Pool) removeWaiter(w *waiter) {
+	heap.Remove(&pool.bySize, w.index)
+	delete(pool.waiting, w.id)
 }
 
-// Tick returns the connections that may go on by now. It is to be called once a second while any waits.
-func (p *Pool) Tick(now float64) (granted []uint64) {
-	for len(p.bySize) > 0 {
-		for p.byAge[0].index < 0 {
-			p.byAge[0] = nil
-			p.byAge = p.byAge[1:]
+// Tick grants what is possible now and returns the connections that may continue. It must be called once a second
+// while any connection waits.
+func (pool *Pool) Tick(now float64) (granted []uint64) {
+	for len(pool.bySize) > 0 {
+		for pool.byAge[0].index < 0 {
+			pool.byAge[0] = nil
+			pool.byAge = pool.byAge[1:]
 		}
-		w, oldest := p.bySize[0], p.byAge[0]
-		aged := now-oldest.since >= p.lim.PassS
-		if aged {
-			w = oldest
+		next, oldest := pool.bySize[0], pool.byAge[0]
+		overdue := now-oldest.since >= pool.lim.PassS
+		if overdue {
+			next = oldest
 		}
-		spare := aged && p.reserved == 0
-		if mine := p.waiting[p.reserved]; mine != nil { // who has the reserve has it until its command is whole
-			w, spare = mine, true
+		mayUseReserve := overdue && pool.reserveHolder == 0
+		if holder := pool.waiting[pool.reserveHolder]; holder != nil { // it keeps the reserve until its command is complete
+			next, mayUseReserve = holder, true
 		}
 		switch {
-		case p.used+w.more <= p.lim.Total:
-			p.used += w.more
-		case spare && p.inReserve+w.more <= p.lim.Reserve:
-			p.reserved = w.id
-			p.inReserve += w.more
+		case pool.used+next.more <= pool.lim.Total:
+			pool.used += next.more
+		case mayUseReserve && pool.reserveUsed+next.more <= pool.lim.Reserve:
+			pool.reserveHolder = next.id
+			pool.reserveUsed += next.more
 		default:
 			return granted
 		}
-		p.held[w.id] = w.bytes
-		p.drop(w)
-		granted = append(granted, w.id)
+		pool.granted[next.id] = next.total
+		pool.removeWaiter(next)
+		granted = append(granted, next.id)
 	}
-	if len(p.bySize) == 0 {
-		p.byAge = nil
+	if len(pool.bySize) == 0 {
+		pool.byAge = nil
 	}
 	return granted
 }
 
-// Counts are what a pool holds now.
+// Counts are the current figures of a pool.
 type Counts struct {
-	Held      int // bytes granted, on the reserve too
-	Strangers int // bytes of those that have not logged in
-	Waiting   int // connections
+	Held      int // bytes granted, with those of the reserve
+	Strangers int // bytes held by connections that have not authenticated
+	Waiting   int // connections that wait for a grant
 }
 
-// Counts returns what is held now.
-func (p *Pool) Counts() Counts { return Counts{p.used + p.inReserve, p.strange, len(p.waiting)} }
+// Counts returns the current figures.
+func (pool *Pool) Counts() Counts {
+	return Counts{pool.used + pool.reserveUsed, pool.unauthenticatedBytes, len(pool.waiting)}
+}
 
-// sizes is a heap of waiters, the smallest first and of equals the one that came first.
-type sizes []*waiter
+// sizeHeap is a heap of waiters: the smallest request first, and of equal ones the one that came first.
+type sizeHeap []*waiter
 
-func (s sizes) Len() int { return len(s) }
-func (s sizes) Less(i, j int) bool {
-	if s[i].more != s[j].more {
-		return s[i].more < s[j].more
+func (h sizeHeap) Len() int { return len(h) }
+func (h sizeHeap) Less(i, j int) bool {
+	if h[i].more != h[j].more {
+		return h[i].more < h[j].more
 	}
-	return s[i].since < s[j].since
+	return h[i].since < h[j].since
 }
-func (s sizes) Swap(i, j int) {
-	s[i], s[j] = s[j], s[i]
-	s[i].index, s[j].index = i, j
+func (h sizeHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].index, h[j].index = i, j
 }
-func (s *sizes) Push(x any) {
+func (h *sizeHeap) Push(x any) {
 	w := x.(*waiter)
-	w.index = len(*s)
-	*s = append(*s, w)
+	w.index = len(*h)
+	*h = append(*h, w)
 }
-func (s *sizes) Pop() any {
-	old := *s
-	w := old[len(old)-1]
+func (h *sizeHeap) Pop() any {
+	old := *h
+	last := old[len(old)-1]
 	old[len(old)-1] = nil
-	*s, w.index = old[:len(old)-1], -1
-	return w
+	*h, last.index = old[:len(old)-1], -1
+	return last
 }
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -14,99 +14,102 @@
 	}
 }
 
-var lim = Limits{Free: 10, Total: 100, Reserve: 60, Strangers: 30, PassS: 2}
+var testLimits = Limits{Free: 10, Total: 100, Reserve: 60, Strangers: 30, PassS: 2}
 
-// ask is Ask where no other is to go on.
-func ask(t *testing.T, p *Pool, now float64, id uint64, bytes int) Verdict {
+// acquire acquires memory and fails the test if other connections are granted by it.
+func acquire(t *testing.T, pool *Pool, now float64, id uint64, bytes int) Verdict {
 	t.Helper()
-	v, others := p.Ask(now, id, bytes)
+	decision, others := pool.Ask(now, id, bytes)
 	if len(others) > 0 {
-		t.Fatalf("%v go on as well", others)
+		t.Fatalf("%v were granted as well", others)
 	}
-	return v
+	return decision
 }
 
-func TestSmallestFirstUntilAged(t *testing.T) {
-	p := New(lim)
-	for id, bytes := range map[uint64]int{1: 10, 2: 60, 3: 40} { // 10 is free of asking
-		if v := ask(t, p, 0, id, bytes); v != Go {
-			t.Fatalf("connection %d: %v", id, v)
+func TestSmallestFirstUntilTheOldestIsOverdue(t *testing.T) {
+	pool := New(testLimits)
+	for id, bytes := range map[uint64]int{1: 10, 2: 60, 3: 40} { // connection 1 needs no grant for 10 bytes
+		if decision := acquire(t, pool, 0, id, bytes); decision != Go {
+			t.Fatalf("connection %d: decision %v, want it to continue", id, decision)
 		}
 	}
-	if ask(t, p, 0, 4, 50) != Wait || ask(t, p, 1, 5, 20) != Wait || ask(t, p, 1, 4, 50) != Wait {
-		t.Fatal("there is no room left")
+	if acquire(t, pool, 0, 4, 50) != Wait || acquire(t, pool, 1, 5, 20) != Wait || acquire(t, pool, 1, 4, 50) != Wait {
+		t.Fatal("no bytes are left: all must wait")
 	}
-	if got := p.Done(1, 3); !reflect.DeepEqual(got, []uint64{5}) { // the smaller passes
+	if got := pool.Done(1, 3); !reflect.DeepEqual(got, []uint64{5}) { // the smaller request overtakes the older one
 		t.Fatal(got)
 	}
-	if ask(t, p, 1.9, 6, 20) != Go {
-		t.Fatal("room for 20, and none has waited long")
+	if acquire(t, pool, 1.9, 6, 20) != Go {
+		t.Fatal("20 bytes are free and no connection is overdue: must be granted")
 	}
-	if v, others := p.Ask(2, 7, 11); v != Wait || !reflect.DeepEqual(others, []uint64{4}) { // 4 has waited for 2 s: nobody passes it now, and the reserve lets it go on
-		t.Fatal("passed one that has waited long enough")
+	// Connection 4 has waited for 2 s: no other may overtake it, and the reserve is used for it.
+	if decision, others := pool.Ask(2, 7, 11); decision != Wait || !reflect.DeepEqual(others, []uint64{4}) {
+		t.Fatal("a connection that is overdue was overtaken")
 	}
-	if got := p.Counts(); got.Held != 60+20+20+50 || got.Waiting != 1 {
+	if got := pool.Counts(); got.Held != 60+20+20+50 || got.Waiting != 1 {
 		t.Fatalf("%+v", got)
 	}
 }
 
-func TestStrangers(t *testing.T) {
-	p := New(lim)
-	if p.Stranger(1, 16) != Go || p.Stranger(2, 14) != Go || p.Stranger(3, 1) != Cut || p.Stranger(1, 17) != Cut {
-		t.Fatal("30 in all")
+func TestUnauthenticatedConnections(t *testing.T) {
+	pool := New(testLimits)
+	if pool.Stranger(1, 16) != Go || pool.Stranger(2, 14) != Go ||
+		pool.Stranger(3, 1) != Cut || pool.Stranger(1, 17) != Cut {
+		t.Fatal("the limit of 30 bytes over all connections is not kept")
 	}
-	if p.Stranger(1, 0) != Go || p.Stranger(3, 16) != Go {
-		t.Fatal("16 are free again")
+	if pool.Stranger(1, 0) != Go || pool.Stranger(3, 16) != Go {
+		t.Fatal("16 bytes must be free again")
 	}
-	p.Leave(0, 3)
-	if p.Counts().Strangers != 14 {
-		t.Fatalf("%+v", p.Counts())
+	pool.Leave(0, 3)
+	if pool.Counts().Strangers != 14 {
+		t.Fatalf("%+v", pool.Counts())
 	}
 }
 
-// Connections that each hold one argument and wait for the next do not hold each other up for ever.
+// Connections that hold memory for one argument and wait for the next must not block each other for ever.
 func TestNoDeadlock(t *testing.T) {
-	p := New(lim)
-	if ask(t, p, 0, 1, 50) != Go || ask(t, p, 0, 2, 50) != Go || ask(t, p, 0, 1, 90) != Wait || ask(t, p, 0, 2, 90) != Wait {
-		t.Fatal("no room for the second arguments")
+	pool := New(testLimits)
+	if acquire(t, pool, 0, 1, 50) != Go || acquire(t, pool, 0, 2, 50) != Go ||
+		acquire(t, pool, 0, 1, 90) != Wait || acquire(t, pool, 0, 2, 90) != Wait {
+		t.Fatal("the second arguments exceed the total: both must wait")
 	}
-	if got := p.Tick(1.9); got != nil {
+	if got := pool.Tick(1.9); got != nil {
 		t.Fatal(got)
 	}
-	if got := p.Tick(2); !reflect.DeepEqual(got, []uint64{1}) {
+	if got := pool.Tick(2); !reflect.DeepEqual(got, []uint64{1}) {
 		t.Fatal(got)
 	}
-	if got := p.Done(2, 1); !reflect.DeepEqual(got, []uint64{2}) {
+	if got := pool.Done(2, 1); !reflect.DeepEqual(got, []uint64{2}) {
 		t.Fatal(got)
 	}
-	if p.Done(3, 2); p.Counts() != (Counts{}) {
-		t.Fatalf("%+v", p.Counts())
+	if pool.Done(3, 2); pool.Counts() != (Counts{}) {
+		t.Fatalf("%+v", pool.Counts())
 	}
 }
 
-// Whatever connections do: no more is held than the limits say, the books add up, and once all that hold end
-// one after the other, everyone that waits is granted.
+// Whatever the connections do, the grants stay within the limits and the counts agree with the model. Once all connections
+// with a grant release it one after the other, every waiting connection is granted.
 func TestPoolAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p, now := New(lim), 0.0
-		held, waits := map[uint64]int{}, map[uint64]int{}
+		pool, now := New(testLimits), 0.0
+		granted, waiting := map[uint64]int{}, map[uint64]int{}
 		grant := func(ids []uint64) {
 			for _, id := range ids {
-				if waits[id] == 0 {
-					t.Fatalf("%d was granted and did not wait", id)
+				if waiting[id] == 0 {
+					t.Fatalf("connection %d was granted although it did not wait", id)
 				}
-				held[id] = waits[id]
-				delete(waits, id)
+				granted[id] = waiting[id]
+				delete(waiting, id)
 			}
 		}
 		check := func() {
 			sum := 0
-			for _, n := range held {
+			for _, n := range granted {
 				sum += n
 			}
-			c := p.Counts()
-			if c.Held != sum || c.Waiting != len(waits) || sum > lim.Total+lim.Reserve {
-				t.Fatalf("%+v, held %v, waiting %v", c, held, waits)
+			c := pool.Counts()
+			if c.Held != sum || c.Waiting != len(waiting) || sum > testLimits.Total+testLimits.Reserve {
+				t.Fatalf("%+v, granted %v, waiting %v", c, granted, waiting)
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -114,45 +117,45 @@
 			id := rapid.Uint64Range(1, 6).Draw(t, "id")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
-				bytes := held[id] + rapid.IntRange(1, 60-held[id]/2).Draw(t, "bytes")
-				if waits[id] > 0 || bytes > 60 {
+				bytes := granted[id] + rapid.IntRange(1, 60-granted[id]/2).Draw(t, "bytes")
+				if waiting[id] > 0 || bytes > 60 {
 					break
 				}
-				v, others := p.Ask(now, id, bytes)
+				decision, others := pool.Ask(now, id, bytes)
 				grant(others)
-				if v == Go {
-					if bytes > lim.Free && bytes > held[id] {
-						held[id] = bytes
+				if decision == Go {
+					if bytes > testLimits.Free && bytes > granted[id] {
+						granted[id] = bytes
 					}
 				} else {
-					waits[id] = bytes
+					waiting[id] = bytes
 				}
 			case 2:
-				if waits[id] == 0 {
-					delete(held, id)
-					grant(p.Done(now, id))
+				if waiting[id] == 0 {
+					delete(granted, id)
+					grant(pool.Done(now, id))
 				}
 			case 3:
-				delete(held, id)
-				delete(waits, id)
-				grant(p.Leave(now, id))
+				delete(granted, id)
+				delete(waiting, id)
+				grant(pool.Leave(now, id))
 			}
-			grant(p.Tick(now))
+			grant(pool.Tick(now))
 			check()
 		}
 		for range 100 {
 			now += 2
-			grant(p.Tick(now))
-			for id := range held {
-				if waits[id] == 0 {
-					delete(held, id)
-					grant(p.Done(now, id))
+			grant(pool.Tick(now))
+			for id := range granted {
+				if waiting[id] == 0 {
+					delete(granted, id)
+					grant(pool.Done(now, id))
 				}
 			}
 			check()
 		}
-		if len(waits) > 0 || p.Counts() != (Counts{}) {
-			t.Fatalf("left: %v, %+v", waits, p.Counts())
+		if len(waiting) > 0 || pool.Counts() != (Counts{}) {
+			t.Fatalf("never granted: %v, %+v", waiting, pool.Counts())
 		}
 	})
 }
