--- a/internal/front/bounds_test.go
+++ b/internal/front/bounds_test.go
@@ -34,7 +34,7 @@
 	if err := <-sent; err != nil {
 		t.Fatal(err)
 	}
-	if c := srv.Counts(); c.Parked == 0 || c.Cut != 0 || c.Input.Held != 0 {
+	if c := srv.Counts(); c.Parked == 0 || c.Cut != 0 || c.Input.GrantedBytes != 0 {
 		t.Errorf("%+v: want it parked, not cut", c)
 	}
 }
@@ -114,7 +114,7 @@
 		connect(t, addr, false).send(half)
 	}
 	wait(t, func() bool { return srv.Counts().Cut > cut })
-	if c := srv.Counts(); c.Input.Strangers > 256<<10 {
+	if c := srv.Counts(); c.Input.UnauthenticatedBytes > 256<<10 {
 		t.Errorf("%+v", c.Input)
 	}
 	k := connect(t, addr, true) // one command at a time still gets in
@@ -134,7 +134,7 @@
 	}
 	wait(t, func() bool { c := srv.Counts().Input; return c.Waiting >= conns-input/bulk })
 	c := srv.Counts()
-	if c.Input.Held > input || c.Cut != 0 {
+	if c.Input.GrantedBytes > input || c.Cut != 0 {
 		t.Errorf("%+v", c)
 	}
 	if used, most := heap()-before, input+conns*(chunkMost+32<<10); used > most { // the test's own clients included
@@ -170,7 +170,7 @@
 		work.Wait()
 		c := srv.Counts()
 		b.ReportMetric(float64(heap()-before)/1e6, "heap-MB")
-		b.ReportMetric(float64(c.Input.Held)/1e6, "granted-MB")
+		b.ReportMetric(float64(c.Input.GrantedBytes)/1e6, "granted-MB")
 		b.ReportMetric(float64(c.Input.Waiting), "waiting")
 		b.ReportMetric(float64(c.Cut), "cut")
 	}
@@ -203,7 +203,7 @@
 	for _, k := range list {
 		k.expect("", fmt.Sprintf("$%d\r\n%s\r\n", bulk, arg))
 	}
-	wait(t, func() bool { c := srv.Counts().Input; return c.Held == 0 && c.Waiting == 0 }) // room is given back right after the answer
+	wait(t, func() bool { c := srv.Counts().Input; return c.GrantedBytes == 0 && c.Waiting == 0 }) // room is given back right after the answer
 	if c := srv.Counts(); c.Cut != 0 {
 		t.Errorf("%+v", c)
 	}
--- a/internal/front/input.go
+++ b/internal/front/input.go
@@ -12,17 +12,17 @@
 const passAfter = 2
 
 // stranger asks for room for a connection that has not logged in.
-func (s *Server) stranger(k *conn, bytes int) intake.Verdict {
+func (s *Server) stranger(k *conn, bytes int) intake.Decision {
 	s.poolMu.Lock()
 	defer s.poolMu.Unlock()
-	return s.pool.Stranger(k.id, bytes)
+	return s.pool.HoldUnauthenticated(k.id, bytes)
 }
 
 // ask asks for room for one that has.
-func (s *Server) ask(k *conn, bytes int) intake.Verdict {
+func (s *Server) ask(k *conn, bytes int) intake.Decision {
 	s.poolMu.Lock()
 	defer s.poolMu.Unlock()
-	v, others := s.pool.Ask(seconds(), k.id, bytes)
+	v, others := s.pool.Acquire(seconds(), k.id, bytes)
 	if v == intake.Wait {
 		s.asking[k.id] = k
 	}
@@ -34,7 +34,7 @@
 func (s *Server) done(k *conn) {
 	s.poolMu.Lock()
 	defer s.poolMu.Unlock()
-	s.granted(s.pool.Done(seconds(), k.id))
+	s.granted(s.pool.Release(seconds(), k.id))
 }
 
 // leave forgets a connection.
@@ -42,7 +42,7 @@
 	s.poolMu.Lock()
 	defer s.poolMu.Unlock()
 	delete(s.asking, k.id)
-	s.granted(s.pool.Leave(seconds(), k.id))
+	s.granted(s.pool.Remove(seconds(), k.id))
 }
 
 // granted tells connections, on their own loops, that they may go on. The pool's lock is held.
@@ -92,7 +92,7 @@
 func (k *conn) hold() eventloop.Action {
 	s := k.loop.s
 	if k.client == nil {
-		if k.strange = len(k.in); s.stranger(k, len(k.in)) == intake.Cut {
+		if k.strange = len(k.in); s.stranger(k, len(k.in)) == intake.Disconnect {
 			s.cut.Add(1)
 			k.because(badInput)
 			k.in, k.quit = nil, true
@@ -123,7 +123,7 @@
 	case want <= k.granted:
 		return eventloop.None
 	}
-	if s.ask(k, want) == intake.Go {
+	if s.ask(k, want) == intake.Proceed {
 		k.granted = want
 		if k.need > cap(k.in) {
 			k.in = append(make([]byte, 0, k.need), k.in...)
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -113,8 +113,8 @@
 	if opt.Commands != nil {
 		s.lim = opt.Commands.Limits()
 	}
-	s.pool = intake.New(intake.Limits{Free: chunkMost, Total: max(opt.Bounds.Input, opt.Bounds.Bulk), Reserve: s.lim.Whole,
-		Strangers: max(opt.Bounds.Input/4, strangerMost), PassS: passAfter})
+	s.pool = intake.New(intake.Limits{FreeBytes: chunkMost, TotalBytes: max(opt.Bounds.Input, opt.Bounds.Bulk), ReserveBytes: s.lim.Whole,
+		UnauthenticatedBytes: max(opt.Bounds.Input/4, strangerMost), MaxOvertakeS: passAfter})
 	var err error
 	if s.group, err = eventloop.New(s, eventloop.Options{Loops: opt.Loops, ReadBuffer: chunkMost, EndsFirst: opt.Leavers, Log: opt.Log}); err != nil {
 		return nil, fmt.Errorf("front: %w", err)
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -262,8 +262,8 @@
 	if i.front != nil {
 		c := i.front.Counts()
 		section("Clients", "connections", c.Open, "connections_total", c.Opened, "connections_cut", c.Cut, "commands", c.Commands,
-			"logins_denied", c.Denied, "connections_parked", c.Parked, "input_held", c.Input.Held, "input_waiting", c.Input.Waiting,
-			"input_strangers", c.Input.Strangers)
+			"logins_denied", c.Denied, "connections_parked", c.Parked, "input_held", c.Input.GrantedBytes, "input_waiting", c.Input.Waiting,
+			"input_strangers", c.Input.UnauthenticatedBytes)
 	}
 	if i.rpc != nil {
 		c := i.rpc.Counts()
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -17,21 +17,21 @@
 
 // Limits bound the input memory. Each number of bytes is at least 1.
 type Limits struct {
-	Free      int     // that an authenticated connection may hold without a grant
-	Total     int     // of all grants, without the reserve
-	Reserve   int     // beyond TotalBytes, for one connection at a time: the size of the largest command
-	Strangers int     // of all connections that have not authenticated
-	PassS     float64 // seconds after which no other connection overtakes a waiting one
+	FreeBytes            int     // that an authenticated connection may hold without a grant
+	TotalBytes           int     // of all grants, without the reserve
+	ReserveBytes         int     // beyond TotalBytes, for one connection at a time: the size of the largest command
+	UnauthenticatedBytes int     // of all connections that have not authenticated
+	MaxOvertakeS         float64 // seconds after which no other connection overtakes a waiting one
 }
 
 // Decision is the answer to a connection that needs memory for input.
-type Verdict int
+type Decision int
 
 // The decisions.
 const (
-	Go   Verdict = iota // continue to read
-	Wait                // do not read until granted
-	Cut                 // close the connection: the memory for unauthenticated connections is used up
+	Proceed    Decision = iota // continue to read
+	Wait                       // do not read until granted
+	Disconnect                 // close the connection: the memory for unauthenticated connections is used up
 )
 
 // Pool holds the grants of all connections and the connections that wait for one. It is not safe for concurrent use.
@@ -63,24 +63,24 @@
 
 // HoldUnauthenticated decides whether a connection that has not authenticated may hold that many bytes, and records
 // them if so. With 0 bytes it forgets the connection.
-func (pool *Pool) Stranger(id uint64, bytes int) Verdict {
+func (pool *Pool) HoldUnauthenticated(id uint64, bytes int) Decision {
 	newTotal := pool.unauthenticatedBytes - pool.unauthenticated[id] + bytes
-	if newTotal > pool.lim.Strangers {
-		return Cut
+	if newTotal > pool.lim.UnauthenticatedBytes {
+		return Disconnect
 	}
 	pool.unauthenticatedBytes = newTotal
 	if pool.unauthenticated[id] = bytes; bytes == 0 {
 		delete(pool.unauthenticated, id)
 	}
-	return Go
+	return Proceed
 }
 
 // Acquire decides whether a connection, whose id is not 0, may hold that many bytes in total. After Wait, a later call
 // of a method of the pool returns the connection once it is granted, unless it is removed first. Acquire also returns
 // the other connections that may continue now.
-func (pool *Pool) Ask(now float64, id uint64, bytes int) (Verdict, []uint64) {
-	if bytes <= pool.lim.Free || bytes <= pool.granted[id] {
-		return Go, nil
+func (pool *Pool) Acquire(now float64, id uint64, bytes int) (Decision, []uint64) {
+	if bytes <= pool.lim.FreeBytes || bytes <= pool.granted[id] {
+		return Proceed, nil
 	}
 	if pool.waiting[id] != nil {
 		return Wait, nil
@@ -91,14 +91,14 @@
 	pool.byAge = append(pool.byAge, w)
 	granted := pool.Tick(now)
 	if i := slices.Index(granted, id); i >= 0 {
-		return Go, slices.Delete(granted, i, i+1)
+		return Proceed, slices.Delete(granted, i, i+1)
 	}
 	return Wait, granted
 }
 
 // Release takes back all that a connection was granted, because its commands are complete. It returns the connections
 // that may continue now.
-func (pool *Pool) Done(now float64, id uint64) []uint64 {
+func (pool *Pool) Release(now float64, id uint64) []uint64 {
 	if pool.granted[id] == 0 {
 		return nil
 	}
@@ -107,8 +107,8 @@
 }
 
 // Remove forgets a connection. It returns the connections that may continue now.
-func (pool *Pool) Leave(now float64, id uint64) []uint64 {
-	_ = pool.Stranger(id, 0)
+func (pool *Pool) Remove(now float64, id uint64) []uint64 {
+	_ = pool.HoldUnauthenticated(id, 0)
 	if w := pool.waiting[id]; w != nil {
 		pool.removeWaiter(w)
 	} else if pool.granted[id] == 0 {
@@ -143,7 +143,7 @@
 			pool.byAge = pool.byAge[1:]
 		}
 		next, oldest := pool.bySize[0], pool.byAge[0]
-		overdue := now-oldest.since >= pool.lim.PassS
+		overdue := now-oldest.since >= pool.lim.MaxOvertakeS
 		if overdue {
 			next = oldest
 		}
@@ -152,9 +152,9 @@
 			next, mayUseReserve = holder, true
 		}
 		switch {
-		case pool.used+next.more <= pool.lim.Total:
+		case pool.used+next.more <= pool.lim.TotalBytes:
 			pool.used += next.more
-		case mayUseReserve && pool.reserveUsed+next.more <= pool.lim.Reserve:
+		case mayUseReserve && pool.reserveUsed+next.more <= pool.lim.ReserveBytes:
 			pool.reserveHolder = next.id
 			pool.reserveUsed += next.more
 		default:
@@ -172,9 +172,9 @@
 
 // Counts are the current figures of a pool.
 type Counts struct {
-	Held      int // bytes granted, with those of the reserve
-	Strangers int // bytes held by connections that have not authenticated
-	Waiting   int // connections that wait for a grant
+	GrantedBytes         int // bytes granted, with those of the reserve
+	UnauthenticatedBytes int // bytes held by connections that have not authenticated
+	Waiting              int // connections that wait for a grant
 }
 
 // Counts returns the current figures.
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -14,12 +14,12 @@
 	}
 }
 
-var testLimits = Limits{Free: 10, Total: 100, Reserve: 60, Strangers: 30, PassS: 2}
+var testLimits = Limits{FreeBytes: 10, TotalBytes: 100, ReserveBytes: 60, UnauthenticatedBytes: 30, MaxOvertakeS: 2}
 
 // acquire acquires memory and fails the test if other connections are granted by it.
-func acquire(t *testing.T, pool *Pool, now float64, id uint64, bytes int) Verdict {
+func acquire(t *testing.T, pool *Pool, now float64, id uint64, bytes int) Decision {
 	t.Helper()
-	decision, others := pool.Ask(now, id, bytes)
+	decision, others := pool.Acquire(now, id, bytes)
 	if len(others) > 0 {
 		t.Fatalf("%v were granted as well", others)
 	}
@@ -29,39 +29,39 @@
 func TestSmallestFirstUntilTheOldestIsOverdue(t *testing.T) {
 	pool := New(testLimits)
 	for id, bytes := range map[uint64]int{1: 10, 2: 60, 3: 40} { // connection 1 needs no grant for 10 bytes
-		if decision := acquire(t, pool, 0, id, bytes); decision != Go {
+		if decision := acquire(t, pool, 0, id, bytes); decision != Proceed {
 			t.Fatalf("connection %d: decision %v, want it to continue", id, decision)
 		}
 	}
 	if acquire(t, pool, 0, 4, 50) != Wait || acquire(t, pool, 1, 5, 20) != Wait || acquire(t, pool, 1, 4, 50) != Wait {
 		t.Fatal("no bytes are left: all must wait")
 	}
-	if got := pool.Done(1, 3); !reflect.DeepEqual(got, []uint64{5}) { // the smaller request overtakes the older one
+	if got := pool.Release(1, 3); !reflect.DeepEqual(got, []uint64{5}) { // the smaller request overtakes the older one
 		t.Fatal(got)
 	}
-	if acquire(t, pool, 1.9, 6, 20) != Go {
+	if acquire(t, pool, 1.9, 6, 20) != Proceed {
 		t.Fatal("20 bytes are free and no connection is overdue: must be granted")
 	}
 	// Connection 4 has waited for 2 s: no other may overtake it, and the reserve is used for it.
-	if decision, others := pool.Ask(2, 7, 11); decision != Wait || !reflect.DeepEqual(others, []uint64{4}) {
+	if decision, others := pool.Acquire(2, 7, 11); decision != Wait || !reflect.DeepEqual(others, []uint64{4}) {
 		t.Fatal("a connection that is overdue was overtaken")
 	}
-	if got := pool.Counts(); got.Held != 60+20+20+50 || got.Waiting != 1 {
+	if got := pool.Counts(); got.GrantedBytes != 60+20+20+50 || got.Waiting != 1 {
 		t.Fatalf("%+v", got)
 	}
 }
 
 func TestUnauthenticatedConnections(t *testing.T) {
 	pool := New(testLimits)
-	if pool.Stranger(1, 16) != Go || pool.Stranger(2, 14) != Go ||
-		pool.Stranger(3, 1) != Cut || pool.Stranger(1, 17) != Cut {
+	if pool.HoldUnauthenticated(1, 16) != Proceed || pool.HoldUnauthenticated(2, 14) != Proceed ||
+		pool.HoldUnauthenticated(3, 1) != Disconnect || pool.HoldUnauthenticated(1, 17) != Disconnect {
 		t.Fatal("the limit of 30 bytes over all connections is not kept")
 	}
-	if pool.Stranger(1, 0) != Go || pool.Stranger(3, 16) != Go {
+	if pool.HoldUnauthenticated(1, 0) != Proceed || pool.HoldUnauthenticated(3, 16) != Proceed {
 		t.Fatal("16 bytes must be free again")
 	}
-	pool.Leave(0, 3)
-	if pool.Counts().Strangers != 14 {
+	pool.Remove(0, 3)
+	if pool.Counts().UnauthenticatedBytes != 14 {
 		t.Fatalf("%+v", pool.Counts())
 	}
 }
@@ -69,7 +69,7 @@
 // Connections that hold memory for one argument and wait for the next must not block each other for ever.
 func TestNoDeadlock(t *testing.T) {
 	pool := New(testLimits)
-	if acquire(t, pool, 0, 1, 50) != Go || acquire(t, pool, 0, 2, 50) != Go ||
+	if acquire(t, pool, 0, 1, 50) != Proceed || acquire(t, pool, 0, 2, 50) != Proceed ||
 		acquire(t, pool, 0, 1, 90) != Wait || acquire(t, pool, 0, 2, 90) != Wait {
 		t.Fatal("the second arguments exceed the total: both must wait")
 	}
@@ -79,10 +79,10 @@
 	if got := pool.Tick(2); !reflect.DeepEqual(got, []uint64{1}) {
 		t.Fatal(got)
 	}
-	if got := pool.Done(2, 1); !reflect.DeepEqual(got, []uint64{2}) {
+	if got := pool.Release(2, 1); !reflect.DeepEqual(got, []uint64{2}) {
 		t.Fatal(got)
 	}
-	if pool.Done(3, 2); pool.Counts() != (Counts{}) {
+	if pool.Release(3, 2); pool.Counts() != (Counts{}) {
 		t.Fatalf("%+v", pool.Counts())
 	}
 }
@@ -108,7 +108,7 @@
 				sum += n
 			}
 			c := pool.Counts()
-			if c.Held != sum || c.Waiting != len(waiting) || sum > testLimits.Total+testLimits.Reserve {
+			if c.GrantedBytes != sum || c.Waiting != len(waiting) || sum > testLimits.TotalBytes+testLimits.ReserveBytes {
 				t.Fatalf("%+v, granted %v, waiting %v", c, granted, waiting)
 			}
 		}
@@ -121,10 +121,10 @@
 				if waiting[id] > 0 || bytes > 60 {
 					break
 				}
-				decision, others := pool.Ask(now, id, bytes)
+				decision, others := pool.Acquire(now, id, bytes)
 				grant(others)
-				if decision == Go {
-					if bytes > testLimits.Free && bytes > granted[id] {
+				if decision == Proceed {
+					if bytes > testLimits.FreeBytes && bytes > granted[id] {
 						granted[id] = bytes
 					}
 				} else {
@@ -133,12 +133,12 @@
 			case 2:
 				if waiting[id] == 0 {
 					delete(granted, id)
-					grant(pool.Done(now, id))
+					grant(pool.Release(now, id))
 				}
 			case 3:
 				delete(granted, id)
 				delete(waiting, id)
-				grant(pool.Leave(now, id))
+				grant(pool.Remove(now, id))
 			}
 			grant(pool.Tick(now))
 			check()
@@ -149,7 +149,7 @@
 			for id := range granted {
 				if waiting[id] == 0 {
 					delete(granted, id)
-					grant(pool.Done(now, id))
+					grant(pool.Release(now, id))
 				}
 			}
 			check()
