--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -190,7 +190,7 @@
 }
 
 // Disconnected reports that the clients of submitted calls will not read their answers.
-func (loop *Loop) Gone(calls []*Call) {
+func (loop *Loop) Disconnected(calls []*Call) {
 	loop.mu.Lock()
 	loop.pending.disconnected = append(loop.pending.disconnected, calls...)
 	loop.mu.Unlock()
--- a/internal/core/machine_test.go
+++ b/internal/core/machine_test.go
@@ -600,7 +600,7 @@
 	}
 	call := newCall()
 	loop.Submit([]*Call{call})
-	loop.Gone([]*Call{call})
+	loop.Disconnected([]*Call{call})
 	step()
 	if len(rec.sent) != 0 || loop.machine.Held() != 0 {
 		t.Fatalf("sent %v for a disconnected client, %d open requests", rec.sent, loop.machine.Held())
@@ -616,7 +616,7 @@
 		t.Fatalf("%d of %d sent, want some to wait", sent, len(calls))
 	}
 	clock.now += 0.02
-	loop.Gone(calls)
+	loop.Disconnected(calls)
 	for _, started := range rec.sent[:sent] {
 		loop.Done(Result{Attempt: started.id, Status: policy.OK, Payload: []byte("+OK\r\n")})
 	}
--- a/internal/front/closing.go
+++ b/internal/front/closing.go
@@ -62,7 +62,7 @@
 	}
 	k.report(gone)
 	if len(gone) > 0 {
-		s.core.Gone(gone)
+		s.core.Disconnected(gone)
 	}
 	k.queue, k.head, k.in = nil, 0, nil
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -65,7 +65,7 @@
 	return n
 }
 
-func (s *scripted) Gone(calls []*core.Call) {
+func (s *scripted) Disconnected(calls []*core.Call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.gone = append(s.gone, calls...)
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -25,7 +25,7 @@
 // Core is what a front needs of the core.
 type Core interface {
 	Submit(calls []*core.Call) int
-	Gone(calls []*core.Call)
+	Disconnected(calls []*core.Call)
 }
 
 // Commands is what the words of clients mean, and how rulings read to them. Its methods are called on the event
--- a/internal/rpc/limits.go
+++ b/internal/rpc/limits.go
@@ -123,7 +123,7 @@
 // abandon gives up calls whose caller has left. Those that were admitted meanwhile are handed back; those
 // still waiting are the core's to end.
 func (s *Server) abandon(calls []*core.Call, back <-chan *core.Call) {
-	s.core.Gone(calls)
+	s.core.Disconnected(calls)
 	var got []*core.Call
 	for {
 		select {
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -81,7 +81,11 @@
 	c.Front.Answered([]*core.Call{c})
 }
 
-func (s *scripted) Gone(calls []*core.Call) { s.mu.Lock(); defer s.mu.Unlock(); s.gone += len(calls) }
+func (s *scripted) Disconnected(calls []*core.Call) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.gone += len(calls)
+}
 
 func (s *scripted) Return(calls []*core.Call) {
 	s.mu.Lock()
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -39,7 +39,7 @@
 // Core is what this front needs of the core.
 type Core interface {
 	Submit(calls []*core.Call) int
-	Gone(calls []*core.Call)
+	Disconnected(calls []*core.Call)
 	Return(calls []*core.Call)
 }
 
@@ -268,7 +268,7 @@
 	case <-done:
 		return ended(&c.Answer)
 	case <-ctx.Done():
-		s.core.Gone([]*core.Call{c})
+		s.core.Disconnected([]*core.Call{c})
 		return status.FromContextError(ctx.Err()).Err()
 	}
 }
--- a/internal/rpc/stream.go
+++ b/internal/rpc/stream.go
@@ -98,7 +98,7 @@
 			gone = append(gone, c)
 		}
 		if len(gone) > 0 {
-			x.s.core.Gone(gone)
+			x.s.core.Disconnected(gone)
 		}
 	}()
 	ended, drain, drained := false, x.s.drain, false
