--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -23,9 +23,9 @@
 
 // Core is told how attempts and probes end.
 type Core interface {
-	Done(results ...core.Result)   // under locks of the pool
-	Deliver(results []core.Result) // under none: what follows may be sent at once
-	Probed(p policy.ProbeResult)
+	QueueResults(results ...core.Result) // under locks of the pool
+	HandleResults(results []core.Result) // under none: what follows may be sent at once
+	QueueProbeResult(p policy.ProbeResult)
 }
 
 // Dialect is how boxes are spoken to and what their answers mean. It has no state and is safe for concurrent use.
@@ -243,7 +243,7 @@
 func (p *Pool) Send(a core.AttemptID, name string, payload []byte, timing policy.Timing) {
 	b := p.box(name)
 	if b == nil {
-		p.core.Done(core.Result{Attempt: a, Status: policy.ConnectFailed})
+		p.core.QueueResults(core.Result{Attempt: a, Status: policy.ConnectFailed})
 		return
 	}
 	b.mu.Lock()
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -28,13 +28,13 @@
 	probes  chan policy.ProbeResult
 }
 
-func (s *sink) Done(r ...core.Result) {
+func (s *sink) QueueResults(r ...core.Result) {
 	for _, x := range r {
 		s.results <- x
 	}
 }
-func (s *sink) Deliver(list []core.Result)  { s.Done(list...) }
-func (s *sink) Probed(p policy.ProbeResult) { s.probes <- p }
+func (s *sink) HandleResults(list []core.Result)      { s.QueueResults(list...) }
+func (s *sink) QueueProbeResult(p policy.ProbeResult) { s.probes <- p }
 
 // box is a listener whose connections are served by the test: each command that comes is handed to it.
 type peerBox struct {
--- a/internal/backend/link.go
+++ b/internal/backend/link.go
@@ -75,7 +75,7 @@
 	if status == policy.Reset {
 		e.pool.broken.Add(1)
 	}
-	e.pool.core.Done(core.Result{Attempt: a, Status: status})
+	e.pool.core.QueueResults(core.Result{Attempt: a, Status: status})
 }
 
 // OnOpen puts a new connection to use.
@@ -171,7 +171,7 @@
 	}
 	l.in = resp.Rest(l.in, buf, used, l.need)
 	if len(results) > 0 {
-		p.core.Deliver(results)
+		p.core.HandleResults(results)
 	}
 	return act
 }
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -198,7 +198,7 @@
 }
 
 // ReturnUnits gives back the units for which UnitsOnly calls were admitted.
-func (loop *Loop) Return(calls []*Call) {
+func (loop *Loop) ReturnUnits(calls []*Call) {
 	loop.mu.Lock()
 	loop.pending.returned = append(loop.pending.returned, calls...)
 	loop.mu.Unlock()
@@ -206,7 +206,7 @@
 }
 
 // QueueResults queues the results of attempts for Run's goroutine. The loop copies the slice.
-func (loop *Loop) Done(results ...Result) {
+func (loop *Loop) QueueResults(results ...Result) {
 	loop.mu.Lock()
 	loop.pending.results = append(loop.pending.results, results...)
 	loop.mu.Unlock()
@@ -215,7 +215,7 @@
 
 // HandleResults is QueueResults, but may handle the results and what follows from them at once on the caller's goroutine,
 // which must therefore hold no lock that a Front, a Backend or Peers take.
-func (loop *Loop) Deliver(results []Result) {
+func (loop *Loop) HandleResults(results []Result) {
 	loop.mu.Lock()
 	loop.pending.results = append(loop.pending.results, results...)
 	loop.mu.Unlock()
@@ -225,7 +225,7 @@
 }
 
 // QueueProbeResult queues the result of a probe.
-func (loop *Loop) Probed(result policy.ProbeResult) {
+func (loop *Loop) QueueProbeResult(result policy.ProbeResult) {
 	loop.mu.Lock()
 	loop.pending.probes = append(loop.pending.probes, result)
 	loop.mu.Unlock()
@@ -233,7 +233,7 @@
 }
 
 // QueueMessage queues a message of another instance; the loop keeps the slice. If too many are queued it drops the message.
-func (loop *Loop) Heard(from int, data []byte) {
+func (loop *Loop) QueueMessage(from int, data []byte) {
 	loop.mu.Lock()
 	if len(loop.pending.messages) < maxQueuedMessages {
 		loop.pending.messages = append(loop.pending.messages, message{from, data})
--- a/internal/core/machine_test.go
+++ b/internal/core/machine_test.go
@@ -464,12 +464,12 @@
 	settled := false
 	loop.settle = func() { // stands for the wait in which the socket buffers are read
 		settled = true
-		loop.Heard(1, []byte("word from before"))
+		loop.QueueMessage(1, []byte("word from before"))
 		loop.Servers(testServers(policy.Draining, policy.Up), true)
 		clock.now += 0.03
 	}
 	clock.now += 4
-	loop.Heard(1, []byte("word from before"))
+	loop.QueueMessage(1, []byte("word from before"))
 	call := &Call{Customer: "ada", Plan: "open", Class: 1, Units: 1, Key: "k", Front: recorderFront{rec}}
 	loop.Submit([]*Call{call})
 	step()
@@ -618,7 +618,7 @@
 	clock.now += 0.02
 	loop.Disconnected(calls)
 	for _, started := range rec.sent[:sent] {
-		loop.Done(Result{Attempt: started.id, Status: policy.OK, Payload: []byte("+OK\r\n")})
+		loop.QueueResults(Result{Attempt: started.id, Status: policy.OK, Payload: []byte("+OK\r\n")})
 	}
 	step()
 	if len(rec.sent) != sent || loop.machine.Held() != 0 {
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -165,7 +165,7 @@
 	return c.Core.Submit(calls)
 }
 
-func (c rpcCore) Return(calls []*core.Call) { c.loop.Return(calls) }
+func (c rpcCore) ReturnUnits(calls []*core.Call) { c.loop.ReturnUnits(calls) }
 
 func (i *Instance) run(f func()) {
 	i.parts.Add(1)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -19,7 +19,7 @@
 
 // Sink takes messages of other instances.
 type Sink interface {
-	Heard(from int, data []byte)
+	QueueMessage(from int, data []byte)
 }
 
 // Counts are totals since the start.
@@ -202,7 +202,7 @@
 		switch {
 		case err == nil:
 			l.heard.Add(1)
-			l.sink.Heard(from, message)
+			l.sink.QueueMessage(from, message)
 		case errors.Is(err, ErrReplayed):
 			l.replayed.Add(1)
 		case errors.Is(err, ErrOld):
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -23,7 +23,7 @@
 	list []string
 }
 
-func (h *heard) Heard(from int, data []byte) {
+func (h *heard) QueueMessage(from int, data []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.list = append(h.list, string(rune('0'+from))+string(data))
--- a/internal/rpc/limits.go
+++ b/internal/rpc/limits.go
@@ -116,7 +116,7 @@
 		}
 	}
 	if len(back) > 0 {
-		s.core.Return(back)
+		s.core.ReturnUnits(back)
 	}
 }
 
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -87,7 +87,7 @@
 	s.gone += len(calls)
 }
 
-func (s *scripted) Return(calls []*core.Call) {
+func (s *scripted) ReturnUnits(calls []*core.Call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range calls {
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -40,7 +40,7 @@
 type Core interface {
 	Submit(calls []*core.Call) int
 	Disconnected(calls []*core.Call)
-	Return(calls []*core.Call)
+	ReturnUnits(calls []*core.Call)
 }
 
 // Options are the settings of a Server.
