--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -194,9 +194,9 @@
 	return p.boxes[addr]
 }
 
-// Servers takes in the list of boxes. What is out at one that is gone ends as it will; its connections are
+// UpdateServers takes in the list of boxes. What is out at one that is gone ends as it will; its connections are
 // closed once they are idle.
-func (p *Pool) Servers(list []policy.Server, whole bool) {
+func (p *Pool) UpdateServers(list []policy.Server, whole bool) {
 	p.mu.Lock()
 	listed := map[string]bool{}
 	for _, s := range list {
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -125,7 +125,7 @@
 	for _, a := range addrs {
 		list = append(list, policy.Server{ID: a})
 	}
-	p.Servers(list, true)
+	p.UpdateServers(list, true)
 	t.Cleanup(p.Stop)
 	return p, s
 }
@@ -302,7 +302,7 @@
 	p, s := setup(t, nil, addr)
 	p.Send(attempt(0), addr, do(0), within(10))
 	k := b.next(t)
-	p.Servers(nil, true)
+	p.UpdateServers(nil, true)
 	_, _ = k.c.Write([]byte("+OK\r\n"))
 	s.expect(t, 0, policy.OK, "+OK\r\n")
 	for end := time.Now().Add(20 * time.Second); p.Counts().Open > 0; time.Sleep(5 * time.Millisecond) {
@@ -324,7 +324,7 @@
 		for n := range 100 {
 			list = append(list, policy.Server{ID: fmt.Sprintf("127.1.%d.%d:1", i, n)})
 		}
-		p.Servers(list, true)
+		p.UpdateServers(list, true)
 	}
 	p.mu.Lock()
 	kept := len(p.boxes)
@@ -491,7 +491,7 @@
 	d := &lateDial{make(chan struct{})}
 	p, s := setup(t, func(o *Options) { o.DialContext = d.dial })
 	p.Located(map[string]string{"box": old.ln.Addr().String()})
-	p.Servers([]policy.Server{{ID: "box"}}, true)
+	p.UpdateServers([]policy.Server{{ID: "box"}}, true)
 	p.Send(attempt(0), "box", do(0), within(20))
 	p.Located(map[string]string{"box": now.ln.Addr().String()})
 	close(d.let)
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -25,7 +25,7 @@
 	Withdraw(id AttemptID, server string) // ends as policy.Moot if not yet written, otherwise continues
 	Probe(server string)
 	// UpdateServers applies a list of servers. Connections to servers that are not on it are closed once they are idle.
-	Servers(list []policy.Server, whole bool)
+	UpdateServers(list []policy.Server, whole bool)
 }
 
 // Peers sends messages to other instances; messages may be lost. It must not block.
@@ -245,7 +245,7 @@
 }
 
 // UpdateServers queues a list of servers. The returned channel is closed once the list is applied.
-func (loop *Loop) Servers(list []policy.Server, whole bool) <-chan struct{} {
+func (loop *Loop) UpdateServers(list []policy.Server, whole bool) <-chan struct{} {
 	applied := make(chan struct{})
 	loop.mu.Lock()
 	loop.pending.serverLists = append(loop.pending.serverLists, serverList{list, whole, applied})
@@ -345,7 +345,7 @@
 	for _, list := range batch.serverLists {
 		machine.Servers(now, list.servers, list.whole)
 		if loop.backend != nil {
-			loop.backend.Servers(list.servers, list.whole)
+			loop.backend.UpdateServers(list.servers, list.whole)
 		}
 		close(list.applied)
 	}
--- a/internal/core/machine_test.go
+++ b/internal/core/machine_test.go
@@ -436,7 +436,7 @@
 func (backend recorderBackend) Send(id AttemptID, server string, payload []byte, timing policy.Timing) {
 	backend.effectsRecorder.Send(id, server, payload, timing)
 }
-func (recorderBackend) Servers([]policy.Server, bool) {}
+func (recorderBackend) UpdateServers([]policy.Server, bool) {}
 
 // What the loop reads from the socket buffers right after a pause: lists of servers are applied before anything is sent,
 // messages of other instances are dropped, and results of attempts that ended in time still count.
@@ -455,7 +455,7 @@
 		loop.mu.Unlock()
 		loop.processBatch(&loop.current)
 	}
-	loop.Servers(testServers(policy.Up), true)
+	loop.UpdateServers(testServers(policy.Up), true)
 	step()
 	for range 5 {
 		clock.now += 0.02
@@ -465,7 +465,7 @@
 	loop.settle = func() { // stands for the wait in which the socket buffers are read
 		settled = true
 		loop.QueueMessage(1, []byte("word from before"))
-		loop.Servers(testServers(policy.Draining, policy.Up), true)
+		loop.UpdateServers(testServers(policy.Draining, policy.Up), true)
 		clock.now += 0.03
 	}
 	clock.now += 4
@@ -593,7 +593,7 @@
 		loop.swapInbox()
 		loop.processBatch(&loop.current)
 	}
-	loop.Servers(testServers(policy.Up), true)
+	loop.UpdateServers(testServers(policy.Up), true)
 	step()
 	newCall := func() *Call {
 		return &Call{Customer: "ada", Plan: "open", Class: 0, Units: 1, Front: recorderFront{rec}}
--- a/internal/day/sabotage.go
+++ b/internal/day/sabotage.go
@@ -76,7 +76,7 @@
 	seen map[string]policy.Server
 }
 
-func (d *deaf) Servers(list []policy.Server, whole bool) <-chan struct{} {
+func (d *deaf) UpdateServers(list []policy.Server, whole bool) <-chan struct{} {
 	for _, s := range list {
 		s.State = policy.Up
 		d.seen[s.ID] = s
@@ -85,7 +85,7 @@
 	for _, s := range d.seen {
 		all = append(all, s)
 	}
-	return d.Sink.Servers(all, whole)
+	return d.Sink.UpdateServers(all, whole)
 }
 
 // rooms remembers the list on its way to the core.
@@ -101,11 +101,11 @@
 	rooms *rooms
 }
 
-func (l *listener) Servers(list []policy.Server, whole bool) <-chan struct{} {
+func (l *listener) UpdateServers(list []policy.Server, whole bool) <-chan struct{} {
 	l.rooms.mu.Lock()
 	l.rooms.list = list
 	l.rooms.mu.Unlock()
-	return l.Sink.Servers(list, whole)
+	return l.Sink.UpdateServers(list, whole)
 }
 
 type doubler struct {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -29,7 +29,7 @@
 	hold  chan struct{} // nil: taken at once
 }
 
-func (s *sink) Servers(list []policy.Server, whole bool) <-chan struct{} {
+func (s *sink) UpdateServers(list []policy.Server, whole bool) <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lists = append(s.lists, list)
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -234,7 +234,7 @@
 	}
 	e.pool.Located(l.Dial)
 	select {
-	case <-e.loop.Servers(l.Servers, l.Whole):
+	case <-e.loop.UpdateServers(l.Servers, l.Whole):
 	case <-e.ran:
 	}
 	if len(l.Servers) > 0 {
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -120,7 +120,7 @@
 		lists = opt.Hooks.Lists(lists)
 	}
 	if cfg.Discovery == nil {
-		<-lists.Servers(cfg.Boxes, true)
+		<-lists.UpdateServers(cfg.Boxes, true)
 	} else {
 		i.disc = discovery.NewClient(*cfg.Discovery, fmt.Sprintf("cometpond-%d", cfg.Me), lists,
 			opt.Log.With().Str("part", "discovery").Logger())
