--- a/internal/access/access.go
+++ b/internal/access/access.go
@@ -106,7 +106,7 @@
 
 // Limit is the call that asks for units alone.
 func (b *Book) Limit(c *Client, class int, units float64) core.Call {
-	return core.Call{Customer: c.Name, Plan: c.Plan, Class: class, Units: units, UnitsOnly: true}
+	return core.Call{Customer: c.Name, Plan: c.Plan, Class: class, Units: units, QuotaOnly: true}
 }
 
 // Known returns a client that another party vouches for: a gateway that asks on its behalf, or its
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -33,7 +33,7 @@
 	Plan          string  // name of the customer's plan
 	Class         int     // index among the classes of the settings
 	Units         float64 // above 0; may be 0 with UnitsOnly, which asks for the quota and takes nothing
-	UnitsOnly     bool    // takes units and sends nothing to a server
+	QuotaOnly     bool    // takes units and sends nothing to a server
 	Key           string  // submission key, for keyed classes; "": the call is not matched with repeats
 	Payload       []byte  // what is sent to the server
 	TimeoutS      float64 // time in which the client wants the answer, seconds; 0 or beyond the class's deadline: that deadline
@@ -321,17 +321,17 @@
 		mach.counts.Overloaded++
 		mach.refuse(call, mach.settings.MaxRetryAfterS, Overloaded, "too many requests under way")
 		return
-	case call.UnitsOnly && call.Units == 0 && mach.plans[call.Plan].Rate == 0:
+	case call.QuotaOnly && call.Units == 0 && mach.plans[call.Plan].Rate == 0:
 		mach.answer(call, Answer{Kind: Admitted})
 		return
 	}
 	policyReq := policy.Request{Class: class.Name, Plan: call.Plan, Customer: call.Customer, DeadlineS: mach.now + remainingS,
-		First: call.FirstInstance, Entries: call.InstanceCount, Units: call.Units, Retry: call.Retry, Limit: call.UnitsOnly}
+		First: call.FirstInstance, Entries: call.InstanceCount, Units: call.Units, Retry: call.Retry, Limit: call.QuotaOnly}
 	if call.InstanceCount <= 0 {
 		policyReq.First, policyReq.Entries = 0, mach.settings.Gateways
 	}
 	var keyEntry *keys.Entry
-	if class.Effect == policy.Keyed && !call.UnitsOnly && call.Key != "" {
+	if class.Effect == policy.Keyed && !call.QuotaOnly && call.Key != "" {
 		decision := mach.keys.Decide(mach.now, call.Customer, call.Key, class)
 		switch decision.Action {
 		case keys.Join:
@@ -559,7 +559,7 @@
 	case Admitted:
 		mach.counts.Admitted++
 	}
-	if call.UnitsOnly {
+	if call.QuotaOnly {
 		ans.Quota = mach.quota(call)
 	}
 	call.Answer = ans
@@ -624,7 +624,7 @@
 func (mach *Machine) Return(now float64, call *Call) {
 	mach.begin(now)
 	defer mach.end()
-	if call.UnitsOnly && call.done && call.Answer.Kind == Admitted {
+	if call.QuotaOnly && call.done && call.Answer.Kind == Admitted {
 		mach.gateway.Return(mach.now, call.Customer, call.Units)
 	}
 }
--- a/internal/core/machine_test.go
+++ b/internal/core/machine_test.go
@@ -132,7 +132,7 @@
 func TestUnitsOnly(t *testing.T) {
 	mach, rec := newTestMachine(t, nil)
 	take := func(units float64) Answer {
-		call := &Call{Customer: "ada", Plan: "basic", Class: 2, Units: units, UnitsOnly: true}
+		call := &Call{Customer: "ada", Plan: "basic", Class: 2, Units: units, QuotaOnly: true}
 		mach.Take(1000, call)
 		if len(rec.answers[call]) != 1 {
 			t.Fatalf("%d answers", len(rec.answers[call]))
@@ -148,7 +148,7 @@
 	if a := take(0); a.Kind != Admitted || a.Quota.Remaining != 5 {
 		t.Fatalf("a call for 0 units must take nothing: %+v", a)
 	}
-	call := &Call{Customer: "ada", Plan: "open", Class: 0, Units: 1, UnitsOnly: true}
+	call := &Call{Customer: "ada", Plan: "open", Class: 0, Units: 1, QuotaOnly: true}
 	if mach.Take(1000, call); rec.answers[call][0].Kind != Admitted || len(rec.sent) != 0 {
 		t.Fatalf("a plan without a rate must admit every call: %+v", rec.answers[call])
 	}
@@ -370,7 +370,7 @@
 	for i := 0; b.Loop(); i++ {
 		now := 1000 + float64(i)*2e-6
 		mach.Tick(now)
-		mach.Take(now, &Call{Customer: names[i%len(names)], Plan: "basic", Class: 2, Units: 1, UnitsOnly: true})
+		mach.Take(now, &Call{Customer: names[i%len(names)], Plan: "basic", Class: 2, Units: 1, QuotaOnly: true})
 	}
 }
 
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -88,9 +88,9 @@
 		a.Kind, a.Detail = core.Failed, "may have run"
 	case strings.Contains(text, "map"):
 		a.Payload = []byte("%1\r\n+a\r\n:1\r\n")
-	case c.UnitsOnly && c.Units > 5:
+	case c.QuotaOnly && c.Units > 5:
 		a.Kind, a.Quota = core.Refused, core.Quota{Burst: 20, Remaining: 5.5, RetryAfterS: 0.3, ResetS: 1.45}
-	case c.UnitsOnly:
+	case c.QuotaOnly:
 		a.Kind, a.Quota = core.Admitted, core.Quota{Burst: 20, Remaining: 19.5, ResetS: 0.05}
 	default:
 		a.Payload = []byte("+did " + c.Key + "\r\n")
--- a/internal/front/output.go
+++ b/internal/front/output.go
@@ -155,7 +155,7 @@
 		return resp.AppendDowngraded(b, a.Payload, k.loop.s.lim)
 	case a.Kind == core.Served:
 		return append(b, a.Payload...)
-	case p.call.UnitsOnly && (a.Kind == core.Admitted || a.Kind == core.Refused && a.Reason == core.NoCapacity):
+	case p.call.QuotaOnly && (a.Kind == core.Admitted || a.Kind == core.Refused && a.Reason == core.NoCapacity):
 		return appendThrottle(b, a, p.call.Units)
 	case a.Kind == core.Refused && a.RetryAfterS > 0:
 		return resp.AppendError(b, "REFUSED retry in "+strconv.FormatFloat(a.RetryAfterS, 'f', 3, 64)+" s: "+a.Detail)
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -65,10 +65,10 @@
 			a = core.Answer{Kind: core.Refused, RetryAfterS: 0.25, Detail: "over quota"}
 		case strings.Contains(text, "fail"):
 			a = core.Answer{Kind: core.Failed, Detail: "may have run"}
-		case c.UnitsOnly && c.Units <= s.room:
+		case c.QuotaOnly && c.Units <= s.room:
 			s.room -= c.Units
 			a = core.Answer{Kind: core.Admitted, Quota: core.Quota{Rate: 10, Burst: 20, Remaining: s.room, ResetS: (20 - s.room) / 10}}
-		case c.UnitsOnly:
+		case c.QuotaOnly:
 			a = core.Answer{Kind: core.Refused, Quota: core.Quota{Rate: 10, Burst: 20, Remaining: s.room, RetryAfterS: 0.3, ResetS: 2}}
 		}
 		give(c, a)
