--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -17,12 +17,12 @@
 
 // Backend sends attempts and probes to servers. Its methods are called while the Machine is driven and must not block.
 // Each Send ends in one Result passed to the Loop, unless the attempt is cancelled; each Probe ends in one ProbeResult.
-// An attempt that could not be written in time is not written any more. It ends as policy.ConnectFailed, or as
-// policy.Moot if there was still time to wait for its answer.
+// An attempt that could not be written in time is not written any more. Its result is that it could not connect, or that it
+// was not sent if there was still time to wait for its answer.
 type Backend interface {
 	Send(id AttemptID, server string, payload []byte, timing policy.Timing)
 	Cancel(id AttemptID, server string)
-	Withdraw(id AttemptID, server string) // ends as policy.Moot if not yet written, otherwise continues
+	Withdraw(id AttemptID, server string) // ends as not sent if not yet written, otherwise continues
 	Probe(server string)
 	// UpdateServers applies a list of servers. Connections to servers that are not on it are closed once they are idle.
 	UpdateServers(list []policy.Server, whole bool)
@@ -30,7 +30,7 @@
 
 // Peers sends messages to other instances; messages may be lost. It must not block.
 type Peers interface {
-	// SendMessage sends to one instance, or to all others with policy.Broadcast.
+	// SendToPeer sends to one instance, or to all others with policy.Broadcast.
 	Tell(instance int, data []byte)
 }
 
@@ -133,7 +133,7 @@
 func (loop *Loop) Attach(backend Backend, peers Peers) { loop.backend, loop.peers = backend, peers }
 
 // SetMaxRequests sets how many requests may be open at once, at least 1. It must be called before Run.
-func (loop *Loop) SetMaxRequests(limit int) { loop.machine.Bound(limit) }
+func (loop *Loop) SetMaxRequests(limit int) { loop.machine.SetMaxRequests(limit) }
 
 // Observe registers f, which is called at each event in the life of a request, on the goroutine that drives the machine.
 // It must be called before Run.
@@ -178,14 +178,14 @@
 	}
 	loop.swapInbox()
 	loop.processBatch(&loop.current)
-	return loop.machine.Next() >= loop.nextWakeup
+	return loop.machine.NextTimer() >= loop.nextWakeup
 }
 
 // swapInbox makes the pending events the current batch, and updates the counts that Status returns.
 func (loop *Loop) swapInbox() {
 	loop.mu.Lock()
 	loop.pending, loop.current = loop.current, loop.pending
-	loop.counts, loop.openRequests = loop.machine.Counts(), loop.machine.Held()
+	loop.counts, loop.openRequests = loop.machine.Counts(), loop.machine.OpenRequests()
 	loop.mu.Unlock()
 }
 
@@ -197,7 +197,7 @@
 	loop.notify()
 }
 
-// ReturnUnits gives back the units for which UnitsOnly calls were admitted.
+// ReturnUnits gives back the units for which QuotaOnly calls were admitted.
 func (loop *Loop) ReturnUnits(calls []*Call) {
 	loop.mu.Lock()
 	loop.pending.returned = append(loop.pending.returned, calls...)
@@ -274,7 +274,8 @@
 func (loop *Loop) Status() Status {
 	loop.mu.Lock()
 	defer loop.mu.Unlock()
-	status := Status{Counts: loop.counts, OpenRequests: loop.openRequests, QueuedCalls: len(loop.pending.calls), DroppedMessages: loop.droppedMessages}
+	status := Status{Counts: loop.counts, OpenRequests: loop.openRequests, QueuedCalls: len(loop.pending.calls),
+		DroppedMessages: loop.droppedMessages}
 	status.Overloaded += loop.overloaded
 	return status
 }
@@ -302,7 +303,7 @@
 			continue
 		}
 		now, wait := loop.clock.Now(), idleWait
-		if loop.nextWakeup = loop.machine.Next(); !math.IsInf(loop.nextWakeup, 1) {
+		if loop.nextWakeup = loop.machine.NextTimer(); !math.IsInf(loop.nextWakeup, 1) {
 			wait = time.Duration(max(loop.nextWakeup-now, 0) * 1e9)
 		}
 		loop.driveMu.Unlock()
@@ -323,10 +324,10 @@
 	loop.pending = inbox{}
 	loop.mu.Unlock()
 	loop.processBatch(&remaining)
-	loop.machine.Settle(loop.clock.Now())
+	loop.machine.Shutdown(loop.clock.Now())
 	loop.deliverAnswers()
 	loop.mu.Lock()
-	loop.counts, loop.openRequests = loop.machine.Counts(), loop.machine.Held()
+	loop.counts, loop.openRequests = loop.machine.Counts(), loop.machine.OpenRequests()
 	loop.mu.Unlock()
 }
 
@@ -338,35 +339,35 @@
 	}
 	some := len(batch.calls)+len(batch.disconnected)+len(batch.returned)+len(batch.results)+len(batch.probes)+
 		len(batch.messages)+len(batch.serverLists) > 0 ||
-		batch.drain || machine.Next() <= now
+		batch.drain || machine.NextTimer() <= now
 	if !some {
 		return false
 	}
 	for _, list := range batch.serverLists {
-		machine.Servers(now, list.servers, list.whole)
+		machine.UpdateServers(now, list.servers, list.whole)
 		if loop.backend != nil {
 			loop.backend.UpdateServers(list.servers, list.whole)
 		}
 		close(list.applied)
 	}
 	if len(batch.disconnected) > 0 { // before anything is sent for them
-		machine.Gone(now, batch.disconnected...)
+		machine.Disconnected(now, batch.disconnected...)
 	}
 	for _, result := range batch.results {
-		machine.Result(now, result)
+		machine.HandleResult(now, result)
 	}
 	for _, probe := range batch.probes {
-		machine.Probed(now, probe)
+		machine.HandleProbeResult(now, probe)
 	}
 	for _, msg := range batch.messages {
-		machine.Peer(now, msg.from, msg.data)
+		machine.HandleMessage(now, msg.from, msg.data)
 	}
 	machine.Tick(now)
 	if batch.drain {
 		machine.Drain()
 	}
 	for _, call := range batch.returned {
-		machine.Return(now, call)
+		machine.ReturnUnits(now, call)
 	}
 	for i, call := range batch.calls {
 		if i > 0 && i%maxBatchCalls == 0 {
@@ -374,7 +375,7 @@
 			now = loop.clock.Now()
 			machine.Tick(now)
 		}
-		machine.Take(now, call)
+		machine.Submit(now, call)
 	}
 	loop.deliverAnswers()
 	batch.reset()
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -18,7 +18,7 @@
 	Served   AnswerKind = iota // Payload is the reply of the server
 	Refused                    // did not run, or may run again without harm
 	Failed                     // may or may not have run
-	Admitted                   // answer to a UnitsOnly call: the units are taken
+	Admitted                   // answer to a QuotaOnly call: the units are taken
 )
 
 // Call is one request that a front has received from a client. The front sets the exported fields up to Tag and must not
@@ -32,7 +32,7 @@
 	Retry         bool    // the client says that this is a retry
 	Plan          string  // name of the customer's plan
 	Class         int     // index among the classes of the settings
-	Units         float64 // above 0; may be 0 with UnitsOnly, which asks for the quota and takes nothing
+	Units         float64 // above 0; may be 0 with QuotaOnly, which asks for the quota and takes nothing
 	QuotaOnly     bool    // takes units and sends nothing to a server
 	Key           string  // submission key, for keyed classes; "": the call is not matched with repeats
 	Payload       []byte  // what is sent to the server
@@ -46,11 +46,11 @@
 	slotRef    uint32 // index of the request's slot plus 1; 0: none
 	generation uint32
 	done       bool // is answered, or the client has disconnected
-	takenAt    float64
+	receivedAt float64
 }
 
 // ReceivedAt returns when the machine received the call, on its clock.
-func (call *Call) ReceivedAt() float64 { return call.takenAt }
+func (call *Call) ReceivedAt() float64 { return call.receivedAt }
 
 // RefusalReason is the reason of a refusal.
 type RefusalReason uint8
@@ -77,7 +77,7 @@
 	RetryAfterS float64       // with Refused: minimum time before a retry, 0 for no advice
 	Reason      RefusalReason // with Refused
 	Detail      string        // with Refused and Failed: explanation for the client's operator
-	Quota       Quota         // with UnitsOnly calls
+	Quota       Quota         // with QuotaOnly calls
 }
 
 // Front receives calls with their answers. Answered is called on the goroutine that drives the Machine and must not block
@@ -98,11 +98,11 @@
 	Send(id AttemptID, server string, payload []byte, timing policy.Timing)
 	// Cancel ends an attempt; its reply will be ignored.
 	Cancel(id AttemptID, server string)
-	// Withdraw ends an attempt as policy.Moot if it has not been written yet. Otherwise it continues.
+	// Withdraw ends an attempt as not sent if it has not been written yet. Otherwise the attempt continues.
 	Withdraw(id AttemptID, server string)
 	// Probe asks a server for its load.
 	Probe(server string)
-	// SendMessage sends to another instance, or to all others with policy.Broadcast.
+	// SendToPeer sends to another instance, or to all others with policy.Broadcast.
 	Tell(instance int, data []byte)
 	// Answered gives a call back with its answer.
 	Answered(call *Call)
@@ -152,7 +152,8 @@
 	LateResults      uint64 // results of attempts that had already ended
 	// Attempts that were started and that timed out, probes, and messages to and from other instances.
 	Attempts, Timeouts, Probes, MessagesSent, MessagesReceived uint64
-	RefusedByReason                                            [policy.Refusals]uint64 // requests, by the reason of the policy module
+	// Refused requests, by the reason of the policy module.
+	RefusedByReason [policy.Refusals]uint64
 }
 
 // maxOpenRequests bounds the open requests, unless SetMaxRequests sets a lower limit. A further call is refused at once.
@@ -254,19 +255,21 @@
 // observeCall passes an event of a call to the observer.
 func (mach *Machine) observeCall(kind EventKind, call *Call) {
 	if mach.observer != nil {
-		mach.observer(Event{Kind: kind, ID: call.ID, Customer: call.Customer, ElapsedS: mach.now - call.takenAt,
+		mach.observer(Event{Kind: kind, ID: call.ID, Customer: call.Customer, ElapsedS: mach.now - call.receivedAt,
 			TimeoutS: call.TimeoutS, Answer: call.Answer})
 	}
 }
 
 // SetMaxRequests sets how many requests may be open, at least 1 and at most maxOpenRequests.
-func (mach *Machine) Bound(limit int) { mach.requestLimit = min(max(limit, 1), maxOpenRequests) }
+func (mach *Machine) SetMaxRequests(limit int) {
+	mach.requestLimit = min(max(limit, 1), maxOpenRequests)
+}
 
 // Counts returns the totals so far.
 func (mach *Machine) Counts() Counts { return mach.counts }
 
 // OpenRequests returns the number of requests without a final answer or with attempts in flight.
-func (mach *Machine) Held() int { return mach.openRequests }
+func (mach *Machine) OpenRequests() int { return mach.openRequests }
 
 // begin starts the handling of an event: it sets the time, which never goes back.
 func (mach *Machine) begin(now float64) { mach.now = max(mach.now, now) }
@@ -282,11 +285,11 @@
 }
 
 // Submit handles a call. Its answer may be given before Submit returns.
-func (mach *Machine) Take(now float64, call *Call) {
+func (mach *Machine) Submit(now float64, call *Call) {
 	mach.begin(now)
 	defer mach.end()
 	mach.counts.Received++
-	call.takenAt = mach.now
+	call.receivedAt = mach.now
 	if call.done {
 		mach.counts.Disconnected++
 		return
@@ -346,7 +349,7 @@
 			return
 		}
 		keyEntry = decision.Entry
-		policyReq.Home, policyReq.Ran, policyReq.RanAt = decision.HomeServer, decision.RanOn, decision.RanAt
+		policyReq.Home, policyReq.Ran, policyReq.RanAt = decision.HomeServer, decision.EarlierServer, decision.EarlierSentAt
 	}
 	slotIndex := mach.newSlot()
 	req := &mach.slots[slotIndex]
@@ -414,7 +417,7 @@
 // Disconnected handles that clients will not read the answers to their calls. A keyed request continues, so that a repeat
 // finds its answer; any other request without a remaining call is abandoned. All are abandoned before the policy module
 // learns of the capacity that becomes free, because it would use it for waiting requests of the same clients.
-func (mach *Machine) Gone(now float64, calls ...*Call) {
+func (mach *Machine) Disconnected(now float64, calls ...*Call) {
 	mach.begin(now)
 	for _, call := range calls {
 		mach.disconnect(call)
@@ -498,7 +501,7 @@
 }
 
 // HandleResult handles the end of an attempt. A result of an attempt that has already ended is only counted.
-func (mach *Machine) Result(now float64, result Result) {
+func (mach *Machine) HandleResult(now float64, result Result) {
 	mach.begin(now)
 	defer mach.end()
 	id := result.Attempt
@@ -507,7 +510,7 @@
 		mach.counts.LateResults++
 		return
 	}
-	mach.endAttempt(id.Slot, id.Index, result.Status, result.Load) // before answerAll, which withdraws the attempts that have not ended
+	mach.endAttempt(id.Slot, id.Index, result.Status, result.Load) // before answerAll, which withdraws all others
 	if result.Status == policy.OK {
 		mach.answerAll(id.Slot, Answer{Kind: Served, Payload: result.Payload})
 	}
@@ -584,12 +587,12 @@
 	if !known {
 		remaining = plan.Burst
 	}
-	return Quota{Rate: plan.Rate, Burst: plan.Burst, Remaining: max(remaining, 0), RetryAfterS: max(call.Units-remaining, 0) / plan.Rate,
-		ResetS: (plan.Burst - remaining) / plan.Rate}
+	return Quota{Rate: plan.Rate, Burst: plan.Burst, Remaining: max(remaining, 0),
+		RetryAfterS: max(call.Units-remaining, 0) / plan.Rate, ResetS: (plan.Burst - remaining) / plan.Rate}
 }
 
 // UpdateServers applies a list of servers, either the whole list or only the changes.
-func (mach *Machine) Servers(now float64, list []policy.Server, whole bool) {
+func (mach *Machine) UpdateServers(now float64, list []policy.Server, whole bool) {
 	mach.begin(now)
 	defer mach.end()
 	mach.keys.UpdateServers(mach.now, list, whole)
@@ -597,7 +600,7 @@
 }
 
 // HandleProbeResult handles the end of a probe.
-func (mach *Machine) Probed(now float64, result policy.ProbeResult) {
+func (mach *Machine) HandleProbeResult(now float64, result policy.ProbeResult) {
 	mach.begin(now)
 	defer mach.end()
 	switch result.Status {
@@ -610,7 +613,7 @@
 }
 
 // HandleMessage handles a message of another instance.
-func (mach *Machine) Peer(now float64, from int, data []byte) {
+func (mach *Machine) HandleMessage(now float64, from int, data []byte) {
 	mach.begin(now)
 	defer mach.end()
 	mach.counts.MessagesReceived++
@@ -620,8 +623,8 @@
 // Drain has the machine refuse every later call.
 func (mach *Machine) Drain() { mach.draining = true }
 
-// ReturnUnits gives back the units for which a UnitsOnly call was admitted.
-func (mach *Machine) Return(now float64, call *Call) {
+// ReturnUnits gives back the units for which a QuotaOnly call was admitted.
+func (mach *Machine) ReturnUnits(now float64, call *Call) {
 	mach.begin(now)
 	defer mach.end()
 	if call.QuotaOnly && call.done && call.Answer.Kind == Admitted {
@@ -631,7 +634,7 @@
 
 // Shutdown ends all open requests when the time for draining is over. A request that did not run, or may run again without
 // harm, is refused; any other one fails.
-func (mach *Machine) Settle(now float64) {
+func (mach *Machine) Shutdown(now float64) {
 	mach.begin(now)
 	defer mach.end()
 	for i := range mach.slots {
@@ -692,7 +695,7 @@
 }
 
 // NextTimer returns the time of the earliest timer, +Inf if there is none.
-func (mach *Machine) Next() float64 {
+func (mach *Machine) NextTimer() float64 {
 	if len(mach.timers) == 0 {
 		return math.Inf(1)
 	}
@@ -777,7 +780,7 @@
 	}
 }
 
-// Admit gives the final answer to a UnitsOnly call that its units are taken.
+// Admit gives the final answer to a QuotaOnly call that its units are taken.
 func (act *policyActions) Admit(id string) {
 	mach := (*Machine)(act)
 	if slotIndex, req := mach.findSlot(id); req != nil {
--- a/internal/core/machine_test.go
+++ b/internal/core/machine_test.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	mach.Servers(1000, testServers(0, 0, 0, 0), true)
+	mach.UpdateServers(1000, testServers(0, 0, 0, 0), true)
 	return mach, rec
 }
 
@@ -92,19 +92,19 @@
 func TestServedOnce(t *testing.T) {
 	mach, rec := newTestMachine(t, nil)
 	call := &Call{Customer: "ada", Plan: "basic", Class: 0, Units: 1, Payload: []byte("x")}
-	mach.Take(1000, call)
-	if len(rec.sent) != 1 || mach.Held() != 1 {
-		t.Fatalf("sent %v, %d open requests", rec.sent, mach.Held())
+	mach.Submit(1000, call)
+	if len(rec.sent) != 1 || mach.OpenRequests() != 1 {
+		t.Fatalf("sent %v, %d open requests", rec.sent, mach.OpenRequests())
 	}
 	id := rec.sent[0].id
-	mach.Result(1000.1, Result{Attempt: id, Status: policy.OK, Payload: []byte("+OK\r\n")})
-	mach.Result(1000.2, Result{Attempt: id, Status: policy.OK, Payload: []byte("+AGAIN\r\n")})
+	mach.HandleResult(1000.1, Result{Attempt: id, Status: policy.OK, Payload: []byte("+OK\r\n")})
+	mach.HandleResult(1000.2, Result{Attempt: id, Status: policy.OK, Payload: []byte("+AGAIN\r\n")})
 	tickUntil(mach, 1000.2, 1003)
 	if got := rec.answers[call]; len(got) != 1 || got[0].Kind != Served || string(got[0].Payload) != "+OK\r\n" {
 		t.Fatalf("%+v", got)
 	}
-	if mach.Held() != 0 || mach.Counts().LateResults != 1 {
-		t.Fatalf("%d open requests, %d late results", mach.Held(), mach.Counts().LateResults)
+	if mach.OpenRequests() != 0 || mach.Counts().LateResults != 1 {
+		t.Fatalf("%d open requests, %d late results", mach.OpenRequests(), mach.Counts().LateResults)
 	}
 }
 
@@ -112,28 +112,28 @@
 func TestLateReplyReachesNoOtherRequest(t *testing.T) {
 	mach, rec := newTestMachine(t, nil)
 	first := &Call{Customer: "ada", Plan: "basic", Class: 0, Units: 1}
-	mach.Take(1000, first)
+	mach.Submit(1000, first)
 	oldID := rec.sent[0].id
-	mach.Gone(1000.1, first)
-	if !rec.cancelled[oldID] || mach.Held() != 0 {
-		t.Fatalf("the attempt for a disconnected client must be cancelled: %d open requests", mach.Held())
+	mach.Disconnected(1000.1, first)
+	if !rec.cancelled[oldID] || mach.OpenRequests() != 0 {
+		t.Fatalf("the attempt for a disconnected client must be cancelled: %d open requests", mach.OpenRequests())
 	}
 	second := &Call{Customer: "eve", Plan: "basic", Class: 0, Units: 1}
-	mach.Take(1000.2, second)
+	mach.Submit(1000.2, second)
 	if newID := rec.sent[len(rec.sent)-1].id; newID.Slot != oldID.Slot || newID == oldID {
 		t.Fatalf("want the same slot with a new generation: %v, %v", oldID, newID)
 	}
-	mach.Result(1000.3, Result{Attempt: oldID, Status: policy.OK, Payload: []byte("+ADA\r\n")})
+	mach.HandleResult(1000.3, Result{Attempt: oldID, Status: policy.OK, Payload: []byte("+ADA\r\n")})
 	if len(rec.answers[first])+len(rec.answers[second]) != 0 {
 		t.Fatalf("answers %v", rec.answers)
 	}
 }
 
-func TestUnitsOnly(t *testing.T) {
+func TestQuotaOnly(t *testing.T) {
 	mach, rec := newTestMachine(t, nil)
 	take := func(units float64) Answer {
 		call := &Call{Customer: "ada", Plan: "basic", Class: 2, Units: units, QuotaOnly: true}
-		mach.Take(1000, call)
+		mach.Submit(1000, call)
 		if len(rec.answers[call]) != 1 {
 			t.Fatalf("%d answers", len(rec.answers[call]))
 		}
@@ -149,7 +149,7 @@
 		t.Fatalf("a call for 0 units must take nothing: %+v", a)
 	}
 	call := &Call{Customer: "ada", Plan: "open", Class: 0, Units: 1, QuotaOnly: true}
-	if mach.Take(1000, call); rec.answers[call][0].Kind != Admitted || len(rec.sent) != 0 {
+	if mach.Submit(1000, call); rec.answers[call][0].Kind != Admitted || len(rec.sent) != 0 {
 		t.Fatalf("a plan without a rate must admit every call: %+v", rec.answers[call])
 	}
 }
@@ -160,11 +160,11 @@
 		return &Call{Customer: "ada", Plan: "open", Class: 1, Units: 1, Key: "k"}
 	}
 	first, second, third := newCall(), newCall(), newCall()
-	mach.Take(1000, first)
-	mach.Take(1000.1, second)
-	mach.Gone(1000.15, first) // this client disconnects; the other one still waits
-	mach.Result(1000.2, Result{Attempt: rec.sent[0].id, Status: policy.OK, Payload: []byte("+DONE\r\n")})
-	mach.Take(1000.3, third)
+	mach.Submit(1000, first)
+	mach.Submit(1000.1, second)
+	mach.Disconnected(1000.15, first) // this client disconnects; the other one still waits
+	mach.HandleResult(1000.2, Result{Attempt: rec.sent[0].id, Status: policy.OK, Payload: []byte("+DONE\r\n")})
+	mach.Submit(1000.3, third)
 	if len(rec.sent) != 1 || len(rec.answers[first]) != 0 || len(rec.answers[second]) != 1 || len(rec.answers[third]) != 1 {
 		t.Fatalf("sent %d, answers %v", len(rec.sent), rec.answers)
 	}
@@ -180,19 +180,19 @@
 	for i := range 3 {
 		call := &Call{Customer: "ada", Plan: "open", Class: i, Units: 1, Key: "k"}
 		calls = append(calls, call)
-		mach.Take(1000, call)
+		mach.Submit(1000, call)
 	}
 	mach.Drain()
 	late := &Call{Customer: "ada", Plan: "open", Class: 0, Units: 1}
-	mach.Take(1000.1, late)
-	mach.Settle(1000.2)
+	mach.Submit(1000.1, late)
+	mach.Shutdown(1000.2)
 	for i, want := range []AnswerKind{Refused, Failed, Failed} {
 		if answers := rec.answers[calls[i]]; len(answers) != 1 || answers[0].Kind != want {
 			t.Errorf("class %d: %+v, want kind %d", i, answers, want)
 		}
 	}
-	if len(rec.answers[late]) != 1 || rec.answers[late][0].Kind != Refused || mach.Held() != 0 {
-		t.Errorf("call after Drain: %+v, %d open requests", rec.answers[late], mach.Held())
+	if len(rec.answers[late]) != 1 || rec.answers[late][0].Kind != Refused || mach.OpenRequests() != 0 {
+		t.Errorf("call after Drain: %+v, %d open requests", rec.answers[late], mach.OpenRequests())
 	}
 }
 
@@ -266,9 +266,9 @@
 					Units: 1, Key: fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "key"))}
 				tracked := &trackedCall{call: call, deadline: now + testSettings().Classes[class].DeadlineS, joined: true}
 				all = append(all, tracked)
-				openBefore := mach.Held()
-				mach.Take(now, call)
-				tracked.joined = mach.Held() == openBefore && len(rec.answers[call]) == 0
+				openBefore := mach.OpenRequests()
+				mach.Submit(now, call)
+				tracked.joined = mach.OpenRequests() == openBefore && len(rec.answers[call]) == 0
 				if len(rec.answers[call]) == 1 && rec.answers[call][0].Kind == Served {
 					tracked.joined = true // replayed
 				}
@@ -287,7 +287,8 @@
 				var first AttemptID
 				found := false
 				for id := range open {
-					if !found || id.Slot < first.Slot || id.Slot == first.Slot && (id.Generation < first.Generation || id.Generation == first.Generation && id.Index < first.Index) {
+					if !found || id.Slot < first.Slot || id.Slot == first.Slot &&
+						(id.Generation < first.Generation || id.Generation == first.Generation && id.Index < first.Index) {
 						first, found = id, true
 					}
 				}
@@ -297,20 +298,20 @@
 				if status == policy.Full || status == policy.ConnectFailed {
 					byAttempt[first].possibleRuns--
 				}
-				mach.Result(now, Result{Attempt: first, Status: status, Payload: []byte("+OK\r\n")})
+				mach.HandleResult(now, Result{Attempt: first, Status: status, Payload: []byte("+OK\r\n")})
 			case 4:
 				states := make([]policy.State, 4)
 				for i := range states {
 					states[i] = rapid.SampledFrom([]policy.State{policy.Up, policy.Up, policy.Draining, policy.Removed}).Draw(t, "state")
 					drained[fmt.Sprint("box", i)] = states[i] != policy.Up
 				}
-				mach.Servers(now, testServers(states...), true)
+				mach.UpdateServers(now, testServers(states...), true)
 			case 5:
 				if len(all) > 0 {
 					tracked := all[rapid.IntRange(0, len(all)-1).Draw(t, "who")]
 					if len(rec.answers[tracked.call]) == 0 {
 						tracked.disconnected = true
-						mach.Gone(now, tracked.call)
+						mach.Disconnected(now, tracked.call)
 					}
 				}
 			case 6:
@@ -326,8 +327,8 @@
 			mach.Tick(now)
 			check()
 		}
-		if mach.Held() != 0 {
-			t.Fatalf("%d requests are still open", mach.Held())
+		if mach.OpenRequests() != 0 {
+			t.Fatalf("%d requests are still open", mach.OpenRequests())
 		}
 		counts := mach.Counts()
 		if counts.Received != counts.Served+counts.Refused+counts.Failed+counts.Admitted+counts.Disconnected || counts.Overdue > 0 {
@@ -370,7 +371,7 @@
 	for i := 0; b.Loop(); i++ {
 		now := 1000 + float64(i)*2e-6
 		mach.Tick(now)
-		mach.Take(now, &Call{Customer: names[i%len(names)], Plan: "basic", Class: 2, Units: 1, QuotaOnly: true})
+		mach.Submit(now, &Call{Customer: names[i%len(names)], Plan: "basic", Class: 2, Units: 1, QuotaOnly: true})
 	}
 }
 
@@ -413,7 +414,7 @@
 	}{{0, true}, {1.5, true}, {2, false}, {20, false}} {
 		mach, rec := newTestMachine(t, nil)
 		call := &Call{Customer: "ada", Plan: "basic", Class: 0, Units: 1, AgeS: c.age} // deadline 2 s
-		mach.Take(1000, call)
+		mach.Submit(1000, call)
 		if got := rec.answers[call]; (len(rec.sent) == 1) != c.sent ||
 			!c.sent && (len(got) != 1 || got[0].Kind != Refused || got[0].Reason != DeadlinePassed) {
 			t.Errorf("sent %v s ago: %d attempts, answers %+v", c.age, len(rec.sent), got)
@@ -474,7 +475,8 @@
 	loop.Submit([]*Call{call})
 	step()
 	if !settled || loop.Status().DroppedMessages != 2 || loop.machine.Counts().MessagesReceived != 0 {
-		t.Errorf("settled %v, %d messages dropped, %d handled", settled, loop.Status().DroppedMessages, loop.machine.Counts().MessagesReceived)
+		t.Errorf("settled %v, %d messages dropped, %d handled", settled, loop.Status().DroppedMessages,
+			loop.machine.Counts().MessagesReceived)
 	}
 	if len(rec.sent) != 1 || rec.sent[0].server != "box1" {
 		t.Errorf("sent %+v, want box1: the list that came during the pause drains box0", rec.sent)
@@ -504,23 +506,23 @@
 	mach, rec := newTestMachine(t, nil)
 	newCall := func() *Call { return &Call{ID: "x", Customer: "c", Plan: "open", Class: 0, Units: 1} }
 	first, second, third := newCall(), newCall(), newCall()
-	mach.Take(1000, first)
-	mach.Take(1000, second)
+	mach.Submit(1000, first)
+	mach.Submit(1000, second)
 	if a := rec.answers[second]; len(a) != 1 || a[0].Kind != Failed || len(rec.answers[first]) != 0 || len(rec.sent) != 1 {
 		t.Fatalf("second: %+v, first: %+v, %d sent", a, rec.answers[first], len(rec.sent))
 	}
-	mach.Take(1000, newCall()) // the failed call must not have released the ID
+	mach.Submit(1000, newCall()) // the failed call must not have released the ID
 	if mach.Counts().Failed != 2 {
 		t.Fatalf("a further call with the ID of an open call was not failed: %+v", mach.Counts())
 	}
-	mach.Result(1000.1, Result{Attempt: rec.sent[0].id, Status: policy.OK})
+	mach.HandleResult(1000.1, Result{Attempt: rec.sent[0].id, Status: policy.OK})
 	if a := rec.answers[first]; len(a) != 1 || a[0].Kind != Served {
 		t.Fatalf("first: %+v", a)
 	}
-	mach.Take(1000.2, third)
-	mach.Gone(1000.3, third)
+	mach.Submit(1000.2, third)
+	mach.Disconnected(1000.3, third)
 	if fourth := newCall(); true {
-		mach.Take(1000.4, fourth)
+		mach.Submit(1000.4, fourth)
 		if len(rec.answers[fourth]) != 0 || len(mach.openIDs) != 1 {
 			t.Fatalf("the ID was not released by the first call's answer and the third call's disconnect: %+v", rec.answers[fourth])
 		}
@@ -531,13 +533,13 @@
 func TestKeyedCallsWithoutAKeyAreNotJoined(t *testing.T) {
 	mach, rec := newTestMachine(t, nil)
 	for range 2 {
-		mach.Take(1000, &Call{Customer: "c", Plan: "open", Class: 1, Units: 1})
+		mach.Submit(1000, &Call{Customer: "c", Plan: "open", Class: 1, Units: 1})
 	}
 	if len(rec.sent) != 2 || mach.Counts().Joined != 0 {
 		t.Fatalf("%d sent, %+v", len(rec.sent), mach.Counts())
 	}
-	mach.Result(1000.1, Result{Attempt: rec.sent[0].id, Status: policy.OK})
-	mach.Take(1000.2, &Call{Customer: "c", Plan: "open", Class: 1, Units: 1})
+	mach.HandleResult(1000.1, Result{Attempt: rec.sent[0].id, Status: policy.OK})
+	mach.Submit(1000.2, &Call{Customer: "c", Plan: "open", Class: 1, Units: 1})
 	if len(rec.sent) != 3 || mach.Counts().Repeated != 0 {
 		t.Fatalf("%d sent, %+v", len(rec.sent), mach.Counts())
 	}
@@ -546,11 +548,11 @@
 // A call beyond the limit on open requests must be refused at once; the others must continue.
 func TestMaxRequests(t *testing.T) {
 	mach, rec := newTestMachine(t, nil)
-	mach.Bound(2)
+	mach.SetMaxRequests(2)
 	var calls []*Call
 	for range 3 {
 		calls = append(calls, &Call{Customer: "c", Plan: "open", Class: 0, Units: 1})
-		mach.Take(1000, calls[len(calls)-1])
+		mach.Submit(1000, calls[len(calls)-1])
 	}
 	if a := rec.answers[calls[2]]; len(a) != 1 || a[0].Kind != Refused || a[0].Reason != Overloaded || len(rec.sent) != 2 {
 		t.Fatalf("%+v, %d sent", a, len(rec.sent))
@@ -562,19 +564,19 @@
 func TestParallelAttemptIsWithdrawn(t *testing.T) {
 	mach, rec := newTestMachine(t, nil)
 	call := &Call{Customer: "ada", Plan: "basic", Class: 0, Units: 1}
-	mach.Take(1000, call)
+	mach.Submit(1000, call)
 	tickUntil(mach, 1000, 1000.9) // without an answer: a second attempt goes to another server
 	if len(rec.sent) != 2 {
 		t.Fatalf("sent %v, want a second attempt", rec.sent)
 	}
 	first, second := rec.sent[0].id, rec.sent[1].id
-	mach.Result(1000.91, Result{Attempt: first, Status: policy.OK, Payload: []byte("+OK\r\n")})
+	mach.HandleResult(1000.91, Result{Attempt: first, Status: policy.OK, Payload: []byte("+OK\r\n")})
 	if !rec.withdrawn[second] {
 		t.Fatalf("the second attempt was not withdrawn: withdrawn %v", rec.withdrawn)
 	}
-	mach.Result(1000.92, Result{Attempt: second, Status: policy.Moot})
-	if len(rec.answers[call]) != 1 || mach.Held() != 0 {
-		t.Fatalf("answers %v, %d open requests", rec.answers[call], mach.Held())
+	mach.HandleResult(1000.92, Result{Attempt: second, Status: policy.Moot})
+	if len(rec.answers[call]) != 1 || mach.OpenRequests() != 0 {
+		t.Fatalf("answers %v, %d open requests", rec.answers[call], mach.OpenRequests())
 	}
 }
 
@@ -602,8 +604,8 @@
 	loop.Submit([]*Call{call})
 	loop.Disconnected([]*Call{call})
 	step()
-	if len(rec.sent) != 0 || loop.machine.Held() != 0 {
-		t.Fatalf("sent %v for a disconnected client, %d open requests", rec.sent, loop.machine.Held())
+	if len(rec.sent) != 0 || loop.machine.OpenRequests() != 0 {
+		t.Fatalf("sent %v for a disconnected client, %d open requests", rec.sent, loop.machine.OpenRequests())
 	}
 	var calls []*Call
 	for range 20 { // more than the server accepts at once
@@ -621,8 +623,8 @@
 		loop.QueueResults(Result{Attempt: started.id, Status: policy.OK, Payload: []byte("+OK\r\n")})
 	}
 	step()
-	if len(rec.sent) != sent || loop.machine.Held() != 0 {
-		t.Errorf("%d more sent for disconnected clients, %d open requests", len(rec.sent)-sent, loop.machine.Held())
+	if len(rec.sent) != sent || loop.machine.OpenRequests() != 0 {
+		t.Errorf("%d more sent for disconnected clients, %d open requests", len(rec.sent)-sent, loop.machine.OpenRequests())
 	}
 	counts := loop.machine.Counts()
 	if counts.Received != counts.Served+counts.Refused+counts.Failed+counts.Disconnected {
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -44,19 +44,19 @@
 
 // The actions.
 const (
-	Start  Action = iota // start a new request with HomeServer, RanOn and RanAt of the Decision
+	Start  Action = iota // start a new request with HomeServer, EarlierServer and EarlierSentAt of the Decision
 	Join                 // wait for the answer of the open request with this key
 	Replay               // reply with the stored answer
 )
 
 // Decision is the table's decision on a submission.
 type Decision struct {
-	Action     Action
-	HomeServer string  // Start: a server of the only group to use, "" for any group
-	RanOn      string  // Start: a server where an earlier request may have run, "" for none
-	RanAt      float64 // when that request was sent
-	Answer     []byte  // Replay
-	Entry      *Entry  // Start: to report the progress of the request with; Join: the entry of the open request
+	Action        Action
+	HomeServer    string  // Start: a server of the only group to use, "" for any group
+	EarlierServer string  // Start: a server where an earlier request may have run, "" for none
+	EarlierSentAt float64 // when that request was sent
+	Answer        []byte  // Replay
+	Entry         *Entry  // Start: to report the progress of the request with; Join: the entry of the open request
 }
 
 // Entry is the state of one key.
@@ -261,7 +261,8 @@
 	case entry.ranOn != "" && now <= entry.firstSentAt+class.KeyTTLS:
 		entry.open, entry.served = true, false
 		tab.dropAnswer(entry)
-		return Decision{Action: Start, HomeServer: entry.ranOn, RanOn: entry.ranOn, RanAt: entry.firstSentAt, Entry: entry}
+		return Decision{Action: Start, HomeServer: entry.ranOn, EarlierServer: entry.ranOn, EarlierSentAt: entry.firstSentAt,
+			Entry: entry}
 	default:
 		tab.remove(entry) // the key TTL is over, or it never ran
 	}
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -57,7 +57,7 @@
 func TestKnownKey(t *testing.T) {
 	tab := newTable()
 	r := tab.Decide(1, "ada", "k", signClass)
-	if r.Action != Start || r.RanOn != "" || r.HomeServer == "" {
+	if r.Action != Start || r.EarlierServer != "" || r.HomeServer == "" {
 		t.Fatalf("%+v", r)
 	}
 	if j := tab.Decide(1.1, "ada", "k", signClass); j.Action != Join || j.Entry != r.Entry {
@@ -71,7 +71,7 @@
 	if a := tab.Decide(8.6, "ada", "k", signClass); a.Action != Replay || string(a.Answer) != "+OK\r\n" {
 		t.Fatalf("repeat after the answer: %+v", a)
 	}
-	if a := tab.Decide(8.8, "ada", "k", signClass); a.Action != Start || a.RanOn != "" {
+	if a := tab.Decide(8.8, "ada", "k", signClass); a.Action != Start || a.EarlierServer != "" {
 		t.Fatalf("after the key TTL the key must be new: %+v", a)
 	}
 }
@@ -87,20 +87,20 @@
 	}
 	tab.MarkSent(1, r.Entry, other) // as if the home had changed between the decision and the attempt
 	tab.MarkNotServed(4, r.Entry)
-	if a := tab.Decide(5, "ada", "k", signClass); a.Action != Start || a.RanOn != other || a.RanAt != 1 {
+	if a := tab.Decide(5, "ada", "k", signClass); a.Action != Start || a.EarlierServer != other || a.EarlierSentAt != 1 {
 		t.Fatalf("%+v", a)
 	} else {
 		tab.MarkSent(5, a.Entry, "box1")
 		tab.MarkNotServed(6, a.Entry)
 	}
-	if a := tab.Decide(8.4, "ada", "k", signClass); a.RanOn != other || a.RanAt != 1 {
+	if a := tab.Decide(8.4, "ada", "k", signClass); a.EarlierServer != other || a.EarlierSentAt != 1 {
 		t.Fatalf("the key TTL must count from the first attempt: %+v", a)
 	}
 	fresh := tab.Decide(1, "ada", "never", signClass)
 	tab.MarkSent(1, fresh.Entry, fresh.HomeServer)
 	tab.MarkNotRun(fresh.Entry)
 	tab.MarkNotServed(2, fresh.Entry)
-	if a := tab.Decide(3, "ada", "never", signClass); a.RanOn != "" || a.Entry == fresh.Entry {
+	if a := tab.Decide(3, "ada", "never", signClass); a.EarlierServer != "" || a.Entry == fresh.Entry {
 		t.Fatalf("a request that never ran must be forgotten: %+v", a)
 	}
 }
@@ -191,7 +191,7 @@
 			}
 			open[decision.Entry]++
 			entries[i] = append(entries[i], decision.Entry)
-			if decision.RanOn != "" && now > decision.RanAt+signClass.KeyTTLS {
+			if decision.EarlierServer != "" && now > decision.EarlierSentAt+signClass.KeyTTLS {
 				t.Fatalf("an earlier run is reported after its key TTL")
 			}
 			serverID := decision.HomeServer
@@ -218,7 +218,7 @@
 	if tab.answerBytes > maxAnswerBytes {
 		t.Fatalf("%d bytes of answers stored", tab.answerBytes)
 	}
-	if r := tab.Decide(2, "ada", "0", signClass); r.Action != Start || r.RanOn == "" {
+	if r := tab.Decide(2, "ada", "0", signClass); r.Action != Start || r.EarlierServer == "" {
 		t.Fatalf("an entry without its answer must keep its group: %+v", r)
 	}
 	if r := tab.Decide(2, "ada", "7", signClass); r.Action != Replay {
