--- a/internal/backend/link.go
+++ b/internal/backend/link.go
@@ -54,7 +54,7 @@
 	l.out = nil
 	var buf []byte
 	p, now := b.pool, b.pool.now()
-	if l.state == nil || !l.closed && p.opt.RestS > 0 && l.c.Unread() && b.conns.Stale(now, l.state, len(list)) {
+	if l.state == nil || !l.closed && p.opt.ReuseDelayS > 0 && l.c.HasUnread() && b.conns.Stale(now, l.state, len(list)) {
 		b.mu.Unlock()
 		return
 	}
@@ -138,13 +138,13 @@
 			continue // pushed out of turn: no answer to anything
 		}
 		if l.probe {
-			if l.greets--; l.greets < 0 && !l.box.probed(policy.OK, p.opt.Dialect.Load(reply)) && p.opt.Strict {
+			if l.greets--; l.greets < 0 && !l.box.probed(policy.OK, p.opt.Dialect.ParseLoad(reply)) && p.opt.StrictProbes {
 				act = eventloop.Close
 				break
 			}
 			continue
 		}
-		r, spoilt := p.opt.Dialect.Reply(reply)
+		r, spoilt := p.opt.Dialect.ParseReply(reply)
 		if spoilt {
 			p.opt.Log.Warn().Str("box", l.box.name).Msg("answer of a box can't be used")
 			act = eventloop.Close // which ends what is out here
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -31,7 +31,7 @@
 // Peers sends messages to other instances; messages may be lost. It must not block.
 type Peers interface {
 	// SendToPeer sends to one instance, or to all others with policy.Broadcast.
-	Tell(instance int, data []byte)
+	SendToPeer(instance int, data []byte)
 }
 
 // Limits of the queues into the loop, and times.
@@ -282,10 +282,10 @@
 
 // ServerEstimates returns the policy module's current estimate of the state of each server. It waits while another
 // goroutine drives the machine, so it is only meant for traces.
-func (loop *Loop) ServerEstimates() []policy.Belief {
+func (loop *Loop) ServerEstimates() []policy.ServerEstimate {
 	loop.driveMu.Lock()
 	defer loop.driveMu.Unlock()
-	return loop.machine.gateway.Beliefs(loop.clock.Now())
+	return loop.machine.gateway.ServerEstimates(loop.clock.Now())
 }
 
 // Run drives the machine until ctx is done, then ends the requests that are still open. When it returns, every accepted
@@ -441,9 +441,9 @@
 }
 func (loop *loopEffects) Probe(server string) { loop.backend.Probe(server) }
 
-func (loop *loopEffects) Tell(instance int, data []byte) {
+func (loop *loopEffects) SendToPeer(instance int, data []byte) {
 	if loop.peers != nil {
-		loop.peers.Tell(instance, data)
+		loop.peers.SendToPeer(instance, data)
 	}
 }
 
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -103,7 +103,7 @@
 	// Probe asks a server for its load.
 	Probe(server string)
 	// SendToPeer sends to another instance, or to all others with policy.Broadcast.
-	Tell(instance int, data []byte)
+	SendToPeer(instance int, data []byte)
 	// Answered gives a call back with its answer.
 	Answered(call *Call)
 }
@@ -153,7 +153,7 @@
 	// Attempts that were started and that timed out, probes, and messages to and from other instances.
 	Attempts, Timeouts, Probes, MessagesSent, MessagesReceived uint64
 	// Refused requests, by the reason of the policy module.
-	RefusedByReason [policy.Refusals]uint64
+	RefusedByReason [policy.RefusalCount]uint64
 }
 
 // maxOpenRequests bounds the open requests, unless SetMaxRequests sets a lower limit. A further call is refused at once.
@@ -328,10 +328,10 @@
 		mach.answer(call, Answer{Kind: Admitted})
 		return
 	}
-	policyReq := policy.Request{Class: class.Name, Plan: call.Plan, Customer: call.Customer, DeadlineS: mach.now + remainingS,
-		First: call.FirstInstance, Entries: call.InstanceCount, Units: call.Units, Retry: call.Retry, Limit: call.QuotaOnly}
+	policyReq := policy.Request{Class: class.Name, Plan: call.Plan, Customer: call.Customer, DeadlineAt: mach.now + remainingS,
+		FirstGateway: call.FirstInstance, GatewayCount: call.InstanceCount, Units: call.Units, ClientRetry: call.Retry, QuotaOnly: call.QuotaOnly}
 	if call.InstanceCount <= 0 {
-		policyReq.First, policyReq.Entries = 0, mach.settings.Gateways
+		policyReq.FirstGateway, policyReq.GatewayCount = 0, mach.settings.Gateways
 	}
 	var keyEntry *keys.Entry
 	if class.Effect == policy.Keyed && !call.QuotaOnly && call.Key != "" {
@@ -349,13 +349,13 @@
 			return
 		}
 		keyEntry = decision.Entry
-		policyReq.Home, policyReq.Ran, policyReq.RanAt = decision.HomeServer, decision.EarlierServer, decision.EarlierSentAt
+		policyReq.HomeServer, policyReq.EarlierServer, policyReq.EarlierSentAt = decision.HomeServer, decision.EarlierServer, decision.EarlierSentAt
 	}
 	slotIndex := mach.newSlot()
 	req := &mach.slots[slotIndex]
 	req.calls = append(req.calls[:0], call)
-	req.class, req.deadline, req.payload, req.keyEntry = call.Class, policyReq.DeadlineS, call.Payload, keyEntry
-	req.earlierMayHaveRun = policyReq.Ran != ""
+	req.class, req.deadline, req.payload, req.keyEntry = call.Class, policyReq.DeadlineAt, call.Payload, keyEntry
+	req.earlierMayHaveRun = policyReq.EarlierServer != ""
 	if keyEntry != nil {
 		keyEntry.RequestRef = uint64(slotIndex)
 	}
@@ -365,7 +365,7 @@
 	mach.gateway.Request(mach.now, policyReq)
 	if req := &mach.slots[slotIndex]; req.generation == generation && req.used && !req.finished {
 		// A fallback in case the policy module makes no decision; normally it answers by the deadline.
-		mach.setTimer(policyReq.DeadlineS+mach.settings.AnswerSlackS,
+		mach.setTimer(policyReq.DeadlineAt+mach.settings.AnswerSlackS,
 			timer{kind: requestOverdue, slot: slotIndex, generation: generation})
 	}
 	mach.releaseSlot(slotIndex, generation)
@@ -452,7 +452,7 @@
 		return
 	}
 	req.finished = true
-	mach.gateway.Gone(mach.now, req.id)
+	mach.gateway.RequestAbandoned(mach.now, req.id)
 	for index := range req.attempts {
 		mach.cancelAttempt(slotIndex, index)
 	}
@@ -483,7 +483,7 @@
 	req := &mach.slots[ended.slot]
 	req.inFlight--
 	switch ended.status {
-	case policy.Full, policy.ConnectFailed, policy.Moot:
+	case policy.Rejected, policy.ConnectFailed, policy.NotSent:
 		if req.possibleRuns--; req.possibleRuns == 0 && req.keyEntry != nil && !req.earlierMayHaveRun && !req.finished {
 			mach.keys.MarkNotRun(req.keyEntry)
 		}
@@ -492,11 +492,11 @@
 	switch ended.status {
 	case policy.ConnectFailed:
 		mach.keys.MarkUnreachable(mach.now, server)
-	case policy.OK, policy.Error, policy.Full:
+	case policy.OK, policy.Error, policy.Rejected:
 		mach.keys.MarkReachable(server)
 	}
 	mach.gateway.Outcome(mach.now, policy.Outcome{ID: req.id, Server: server, Attempt: ended.index, Status: ended.status,
-		Over: req.finished, SpentS: ended.elapsedS, Load: ended.load})
+		RequestEnded: req.finished, ElapsedS: ended.elapsedS, Load: ended.load})
 	mach.releaseSlot(ended.slot, ended.generation)
 }
 
@@ -583,7 +583,7 @@
 	if plan == nil || plan.Rate == 0 {
 		return Quota{Burst: math.Inf(1), Remaining: math.Inf(1)}
 	}
-	remaining, known := mach.gateway.Room(mach.now, call.Customer)
+	remaining, known := mach.gateway.RemainingUnits(mach.now, call.Customer)
 	if !known {
 		remaining = plan.Burst
 	}
@@ -609,7 +609,7 @@
 	case policy.OK:
 		mach.keys.MarkReachable(result.Server)
 	}
-	mach.gateway.Probed(mach.now, result)
+	mach.gateway.ProbeEnded(mach.now, result)
 }
 
 // HandleMessage handles a message of another instance.
@@ -617,7 +617,7 @@
 	mach.begin(now)
 	defer mach.end()
 	mach.counts.MessagesReceived++
-	mach.gateway.Peer(mach.now, from, data)
+	mach.gateway.PeerMessage(mach.now, from, data)
 }
 
 // Drain has the machine refuse every later call.
@@ -628,7 +628,7 @@
 	mach.begin(now)
 	defer mach.end()
 	if call.QuotaOnly && call.done && call.Answer.Kind == Admitted {
-		mach.gateway.Return(mach.now, call.Customer, call.Units)
+		mach.gateway.ReturnUnits(mach.now, call.Customer, call.Units)
 	}
 }
 
@@ -648,7 +648,7 @@
 			ans = Answer{Kind: Failed, Detail: shutdownDetail + "; the request may have run"}
 		}
 		mach.answerAll(uint32(i), ans)
-		mach.gateway.Gone(mach.now, req.id)
+		mach.gateway.RequestAbandoned(mach.now, req.id)
 		for index := range req.attempts {
 			mach.cancelAttempt(uint32(i), index)
 		}
@@ -720,7 +720,7 @@
 			if req := &mach.slots[due.slot]; req.generation == due.generation && req.used && !req.finished {
 				mach.counts.Overdue++
 				mach.answerAll(due.slot, Answer{Kind: Failed, Detail: "no ruling in time"})
-				mach.gateway.Gone(mach.now, req.id)
+				mach.gateway.RequestAbandoned(mach.now, req.id)
 				for index := range req.attempts {
 					mach.cancelAttempt(due.slot, index)
 				}
@@ -749,15 +749,15 @@
 	req.possibleRuns++
 	mach.counts.Attempts++
 	if req.finished { // finished meanwhile: nothing more may be sent for it
-		mach.endAttempt(slotIndex, index, policy.Moot, nil)
+		mach.endAttempt(slotIndex, index, policy.NotSent, nil)
 		return
 	}
 	if req.keyEntry != nil {
 		mach.keys.MarkSent(mach.now, req.keyEntry, server)
 	}
-	timing.AnswerS = min(timing.AnswerS, req.deadline-mach.now)
-	mach.setTimer(mach.now+timing.AnswerS, timer{kind: attemptTimeout, slot: slotIndex, generation: req.generation, attempt: index})
-	mach.observeAttempt(AttemptSent, req, index, policy.OK, timing.AnswerS)
+	timing.AnswerWithinS = min(timing.AnswerWithinS, req.deadline-mach.now)
+	mach.setTimer(mach.now+timing.AnswerWithinS, timer{kind: attemptTimeout, slot: slotIndex, generation: req.generation, attempt: index})
+	mach.observeAttempt(AttemptSent, req, index, policy.OK, timing.AnswerWithinS)
 	mach.effects.Send(AttemptID{slotIndex, req.generation, index}, server, req.payload, timing)
 }
 
@@ -808,11 +808,11 @@
 	act.effects.Probe(server)
 }
 
-// Tell sends a message to another instance, or to all others with policy.Broadcast.
-func (act *policyActions) Tell(gateway int, data []byte) {
-	if gateway == policy.Broadcast || gateway >= 0 && gateway < act.settings.Gateways && gateway != act.settings.Me {
+// SendToPeer sends a message to another instance, or to all others with policy.Broadcast.
+func (act *policyActions) SendToPeer(gateway int, data []byte) {
+	if gateway == policy.Broadcast || gateway >= 0 && gateway < act.settings.Gateways && gateway != act.settings.Self {
 		act.counts.MessagesSent++
-		act.effects.Tell(gateway, data)
+		act.effects.SendToPeer(gateway, data)
 	}
 }
 
--- a/internal/core/machine_test.go
+++ b/internal/core/machine_test.go
@@ -19,16 +19,16 @@
 
 func testSettings() policy.Settings {
 	return policy.Settings{
-		Me: 0, Gateways: 1, Zone: "room0", MaxUnits: 4, MaxAttempts: 3, MaxRetryAfterS: 0.5, AnswerSlackS: 0.01,
-		Cancel: true, Parallel: true, Probes: true, ReportByProbe: true,
-		ColdFrom: 0.2, ColdS: 10, FallMultiple: 3, FallS: 1,
+		Self: 0, Gateways: 1, Zone: "room0", MaxUnits: 4, MaxAttempts: 3, MaxRetryAfterS: 0.5, AnswerSlackS: 0.01,
+		Cancel: true, ParallelAttempts: true, Probes: true, LoadFromProbes: true,
+		ColdStartShare: 0.2, ColdPeriodS: 10, OverloadMultiple: 3, OverloadWindowS: 1,
 		Classes: []policy.Class{
-			{Name: "read", AimS: 1, DeadlineS: 2, Worth: 1, LateWorth: 0.2, Effect: policy.Safe},
-			{Name: "put", AimS: 1, DeadlineS: 4, Worth: 3, Effect: policy.Keyed, KeyScope: policy.ScopeZone, KeyTTLS: 2},
-			{Name: "pay", AimS: 1, DeadlineS: 4, Worth: 5, Effect: policy.Unsafe},
+			{Name: "read", TargetLatencyS: 1, DeadlineS: 2, Value: 1, LateValueShare: 0.2, Effect: policy.Safe},
+			{Name: "put", TargetLatencyS: 1, DeadlineS: 4, Value: 3, Effect: policy.Keyed, KeyScope: policy.ScopeZone, KeyTTLS: 2},
+			{Name: "pay", TargetLatencyS: 1, DeadlineS: 4, Value: 5, Effect: policy.Unsafe},
 		},
-		Plans: []policy.Plan{{Name: "basic", Rate: 10, Burst: 20, Price: 1, ExcessCost: 1},
-			{Name: "open", Price: 1}},
+		Plans: []policy.Plan{{Name: "basic", Rate: 10, Burst: 20, ValueFactor: 1, ExcessCostShare: 1},
+			{Name: "open", ValueFactor: 1}},
 	}
 }
 
@@ -57,7 +57,7 @@
 func (rec *effectsRecorder) Cancel(id AttemptID, server string) { rec.cancelled[id] = true }
 func (rec *effectsRecorder) Withdraw(id AttemptID, _ string)    { rec.withdrawn[id] = true }
 func (rec *effectsRecorder) Probe(server string)                { rec.probes = append(rec.probes, server) }
-func (rec *effectsRecorder) Tell(int, []byte)                   {}
+func (rec *effectsRecorder) SendToPeer(int, []byte)             {}
 func (rec *effectsRecorder) Answered(call *Call) {
 	rec.answers[call] = append(rec.answers[call], call.Answer)
 }
@@ -75,7 +75,7 @@
 	return mach, rec
 }
 
-func testServers(states ...policy.State) (list []policy.Server) {
+func testServers(states ...policy.ServerState) (list []policy.Server) {
 	for i, state := range states {
 		list = append(list, policy.Server{ID: fmt.Sprint("box", i), Zone: fmt.Sprint("room", i/2), State: state, Weight: 1})
 	}
@@ -201,7 +201,7 @@
 // as harmless to retry.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		mach, rec := newTestMachine(t, func(settings *policy.Settings) { settings.Parallel = rapid.Bool().Draw(t, "parallel") })
+		mach, rec := newTestMachine(t, func(settings *policy.Settings) { settings.ParallelAttempts = rapid.Bool().Draw(t, "parallel") })
 		now := 1000.0
 		type trackedCall struct {
 			call         *Call
@@ -293,16 +293,16 @@
 					}
 				}
 				delete(open, first)
-				status := rapid.SampledFrom([]policy.Status{policy.OK, policy.Error, policy.Full, policy.ConnectFailed, policy.Reset}).
+				status := rapid.SampledFrom([]policy.Status{policy.OK, policy.Error, policy.Rejected, policy.ConnectFailed, policy.Reset}).
 					Draw(t, "status")
-				if status == policy.Full || status == policy.ConnectFailed {
+				if status == policy.Rejected || status == policy.ConnectFailed {
 					byAttempt[first].possibleRuns--
 				}
 				mach.HandleResult(now, Result{Attempt: first, Status: status, Payload: []byte("+OK\r\n")})
 			case 4:
-				states := make([]policy.State, 4)
+				states := make([]policy.ServerState, 4)
 				for i := range states {
-					states[i] = rapid.SampledFrom([]policy.State{policy.Up, policy.Up, policy.Draining, policy.Removed}).Draw(t, "state")
+					states[i] = rapid.SampledFrom([]policy.ServerState{policy.Up, policy.Up, policy.Draining, policy.Removed}).Draw(t, "state")
 					drained[fmt.Sprint("box", i)] = states[i] != policy.Up
 				}
 				mach.UpdateServers(now, testServers(states...), true)
@@ -355,7 +355,7 @@
 			gateway.Timer(now, 1)
 		}
 		gateway.Request(now, policy.Request{ID: fmt.Sprint(i), Class: "pay", Plan: "basic", Customer: names[i%len(names)],
-			DeadlineS: now + 2, Entries: 1, Units: 1, Limit: true})
+			DeadlineAt: now + 2, GatewayCount: 1, Units: 1, QuotaOnly: true})
 	}
 }
 
@@ -392,7 +392,7 @@
 func (act *countingActions) Cancel(string, int)                     { act.count++ }
 func (act *countingActions) SetTimer(uint64, float64)               {}
 func (act *countingActions) Probe(string)                           {}
-func (act *countingActions) Tell(int, []byte)                       {}
+func (act *countingActions) SendToPeer(int, []byte)                 {}
 func (act *countingActions) Log(string)                             {}
 
 // noEffects implements Effects and does nothing.
@@ -402,7 +402,7 @@
 func (noEffects) Cancel(AttemptID, string)                      {}
 func (noEffects) Withdraw(AttemptID, string)                    {}
 func (noEffects) Probe(string)                                  {}
-func (noEffects) Tell(int, []byte)                              {}
+func (noEffects) SendToPeer(int, []byte)                        {}
 func (noEffects) Answered(*Call)                                {}
 
 // After a pause the time of a call counts from when it may have been sent. A call whose deadline has passed by then must be
@@ -444,7 +444,7 @@
 func TestLoopAfterAPause(t *testing.T) {
 	clock, rec := &manualClock{1000}, newEffectsRecorder()
 	settings := testSettings()
-	settings.Gateways, settings.Peers, settings.PeerIntake = 2, true, 100
+	settings.Gateways, settings.PeerMessages, settings.PeerMessagesPerS = 2, true, 100
 	loop, err := NewLoop(settings, 1, clock)
 	if err != nil {
 		t.Fatal(err)
@@ -574,7 +574,7 @@
 	if !rec.withdrawn[second] {
 		t.Fatalf("the second attempt was not withdrawn: withdrawn %v", rec.withdrawn)
 	}
-	mach.HandleResult(1000.92, Result{Attempt: second, Status: policy.Moot})
+	mach.HandleResult(1000.92, Result{Attempt: second, Status: policy.NotSent})
 	if len(rec.answers[call]) != 1 || mach.OpenRequests() != 0 {
 		t.Fatalf("answers %v, %d open requests", rec.answers[call], mach.OpenRequests())
 	}
@@ -585,7 +585,7 @@
 func TestClientDisconnectedInTheSameBatch(t *testing.T) {
 	clock, rec := &manualClock{1000}, newEffectsRecorder()
 	settings := testSettings()
-	settings.Classes[0].DeadlineS, settings.Classes[0].AimS = 60, 50
+	settings.Classes[0].DeadlineS, settings.Classes[0].TargetLatencyS = 60, 50
 	loop, err := NewLoop(settings, 1, clock)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/day/sabotage.go
+++ b/internal/day/sabotage.go
@@ -124,7 +124,7 @@
 		}
 	}
 	for _, s := range d.rooms.list {
-		if s.Zone != zone && s.State == policy.Up && s.SinceS == 0 { // a cold one might fall over: another rule
+		if s.Zone != zone && s.State == policy.Up && s.StartedAt == 0 { // a cold one might fall over: another rule
 			a.Index += 100 // no attempt that the core knows: its answer is late
 			d.Backend.Send(a, s.ID, payload, timing)
 			return
@@ -158,8 +158,8 @@
 	c.rooms.mu.Lock()
 	newest, since := "", float64(time.Now().UnixNano())/1e9-8
 	for _, s := range c.rooms.list {
-		if s.State == policy.Up && s.SinceS > since {
-			newest, since = s.ID, s.SinceS
+		if s.State == policy.Up && s.StartedAt > since {
+			newest, since = s.ID, s.StartedAt
 		}
 	}
 	c.rooms.mu.Unlock()
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -81,7 +81,7 @@
 	var a *endpointv3.ClusterLoadAssignment
 	reading, cancel := context.WithTimeout(ctx, restoreFor)
 	defer cancel()
-	err := syserr.Retry(reading, syserr.Storage, func() (err error) {
+	err := syserr.Retry(reading, syserr.StorageRetryable, func() (err error) {
 		version, at, a, err = c.keep.file.Load()
 		return err
 	})
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -121,7 +121,7 @@
 	var cfg *Config
 	reading, cancel := context.WithTimeout(ctx, loadFor)
 	defer cancel()
-	err := syserr.Retry(reading, syserr.Storage, func() (err error) {
+	err := syserr.Retry(reading, syserr.StorageRetryable, func() (err error) {
 		cfg, err = Load(getenv)
 		return err
 	})
@@ -169,8 +169,8 @@
 		}
 	}()
 	var told core.Peers
-	if c.Terms.Peers && c.Terms.Gateways > 1 {
-		e.peers, err = peer.OpenPlain(c.PeerListen, c.Peers, c.PeersAll, c.Terms.Me, e.loop, log.With().Str("part", "peer").Logger())
+	if c.Terms.PeerMessages && c.Terms.Gateways > 1 {
+		e.peers, err = peer.OpenPlain(c.PeerListen, c.Peers, c.PeersAll, c.Terms.Self, e.loop, log.With().Str("part", "peer").Logger())
 		if err != nil {
 			close(e.ran)
 			return nil, err
@@ -215,8 +215,8 @@
 	if c.Trace {
 		dialect = &tracedBackends{dialect, log}
 	}
-	return backend.Options{Dialect: dialect, Connections: l.Connections, Total: b.Backends, Pipeline: l.Pipeline, RestS: l.RestS,
-		IdleS: l.IdleS, Connect: time.Duration(openS * float64(time.Second)), Strict: true, Loops: 1, Log: log}
+	return backend.Options{Dialect: dialect, Connections: l.Connections, MaxTotalConnections: b.Backends, Pipeline: l.Pipeline, ReuseDelayS: l.ReuseDelayS,
+		IdleTimeoutS: l.IdleTimeoutS, ConnectTimeout: time.Duration(openS * float64(time.Second)), StrictProbes: true, Loops: 1, Log: log}
 }
 
 func (e *Edge) run(f func()) {
@@ -232,7 +232,7 @@
 	if len(l.Servers) == 0 && !l.Whole {
 		return
 	}
-	e.pool.Located(l.Dial)
+	e.pool.SetAddresses(l.Dial)
 	select {
 	case <-e.loop.UpdateServers(l.Servers, l.Whole):
 	case <-e.ran:
--- a/internal/edge/serve_test.go
+++ b/internal/edge/serve_test.go
@@ -317,7 +317,7 @@
 		p.roster.Set(h)
 		until(t, "the new one is listed", func() bool { return e.loop.ServerEstimates()[0].Server.ID == h.Host })
 	}
-	until(t, "the old connections end", func() bool { return p.backends[0].Open() <= 1 && len(e.pool.Held()) == 1 })
+	until(t, "the old connections end", func() bool { return p.backends[0].Open() <= 1 && len(e.pool.ConnectionStats()) == 1 })
 	if n := p.backends[0].Count(); n < times {
 		t.Errorf("%d connections to %d backends at one address", n, times)
 	}
@@ -441,7 +441,7 @@
 	}
 	until(t, "all is let go", func() bool {
 		s := e.loop.Status()
-		return e.front.Open() == 0 && s.OpenRequests == 0 && len(e.pool.Held()) == 2
+		return e.front.Open() == 0 && s.OpenRequests == 0 && len(e.pool.ConnectionStats()) == 2
 	})
 	if c := e.loop.Status(); c.Served != 1600 {
 		t.Errorf("%d of 1600 served: %+v", c.Served, c)
--- a/internal/edge/svc/svc_test.go
+++ b/internal/edge/svc/svc_test.go
@@ -139,14 +139,14 @@
 		{ok("*2\r\n:1\r\n:2\r\n:3\r\n"), policy.OK, false, -1, true},
 		{"-ERR failed\r\n", policy.Error, false, -1, false},
 		{"-ERR failed util=0.7\r\n", policy.Error, false, 0.7, false},
-		{"-BUSY\r\n", policy.Full, false, -1, false},
-		{"-BUSY cpu_share=0.9,pending=3\r\n", policy.Full, false, 0.9, false},
+		{"-BUSY\r\n", policy.Rejected, false, -1, false},
+		{"-BUSY cpu_share=0.9,pending=3\r\n", policy.Rejected, false, 0.9, false},
 		{"-BUSYNESS\r\n", 0, true, 0, false}, {"-ERR failedly\r\n", 0, true, 0, false},
 		{"-SYNTAX\r\n", 0, true, 0, false}, {"-ERR\r\n", 0, true, 0, false}, {"+OK\r\n", 0, true, 0, false}, {":1\r\n", 0, true, 0, false},
 		{string(good), 0, true, 0, false}, {"$-1\r\n", 0, true, 0, false}, {"*-1\r\n", 0, true, 0, false}, {"*0\r\n", 0, true, 0, false},
 		{"*1\r\n$-1\r\n", 0, true, 0, false}, {"*1\r\n:5\r\n", 0, true, 0, false}, {"*2\r\n*1\r\n:1\r\n:2\r\n", 0, true, 0, false},
 	} {
-		r, spoilt := Backends{}.Reply([]byte(c.reply))
+		r, spoilt := Backends{}.ParseReply([]byte(c.reply))
 		if spoilt != c.spoilt {
 			t.Errorf("%q: spoilt %v", c.reply, spoilt)
 			continue
@@ -162,11 +162,11 @@
 			t.Errorf("%q: status %v, util %v, payload %q", c.reply, r.Status, util, r.Payload)
 		}
 	}
-	if l := (Backends{}).Load([]byte("$25\r\nlatency_ms=3.5,util=0.25\r\n")); l == nil || l.Util != 0.25 || l.ServiceMS != 3.5 || l.Queue != -1 {
+	if l := (Backends{}).ParseLoad([]byte("$25\r\nlatency_ms=3.5,util=0.25\r\n")); l == nil || l.Util != 0.25 || l.ServiceMS != 3.5 || l.Queue != -1 {
 		t.Errorf("probe: %+v", l)
 	}
 	for _, s := range []string{"-NOPERM\r\n", "+PONG\r\n", "$-1\r\n", "*1\r\n:1\r\n"} {
-		if l := (Backends{}).Load([]byte(s)); l != nil {
+		if l := (Backends{}).ParseLoad([]byte(s)); l != nil {
 			t.Errorf("%q tells %+v", s, l)
 		}
 	}
--- a/internal/edge/trace.go
+++ b/internal/edge/trace.go
@@ -75,12 +75,12 @@
 
 // logBeliefs logs what the module holds of each server beside what its connections carry.
 func (e *Edge) logBeliefs() {
-	held := e.pool.Held()
+	held := e.pool.ConnectionStats()
 	for _, b := range e.loop.ServerEstimates() {
 		h := held[b.Server.ID]
-		e.log.Info().Str("server", b.Server.ID).Int("state", int(b.Server.State)).Int("believed_out", b.InFlight).Int("out", h.Out).
-			Int("connections", h.Connections).Int("idle", h.Idle).Int("given_up", h.GivenUp).Float64("speed", b.Speed).
-			Float64("sick", b.Sick).Float64("util", b.Util).Float64("util_age", b.UtilAgeS).Msg("belief")
+		e.log.Info().Str("server", b.Server.ID).Int("state", int(b.Server.State)).Int("believed_out", b.InFlight).Int("out", h.InFlight).
+			Int("connections", h.Connections).Int("idle", h.Idle).Int("given_up", h.Cancelled).Float64("speed", b.LatencyRatio).
+			Float64("sick", b.Suspicion).Float64("util", b.Util).Float64("util_age", b.UtilAgeS).Msg("belief")
 	}
 }
 
@@ -99,7 +99,7 @@
 		Uint64("too_late", s.DeadlinePassed).Uint64("overfull", s.Overloaded).Uint64("overdue", s.Overdue).Uint64("late", s.LateResults).
 		Uint64("attempts", s.Attempts).Uint64("timeouts", s.Timeouts).Uint64("stalls", e.stalls.PauseCount()).
 		Int("held", s.OpenRequests).Int("waiting", s.QueuedCalls).Uint64("dials", p.Dials).Uint64("dials_failed", p.DialsFailed).
-		Uint64("broken", p.Broken).Int64("box_connections", p.Open).Int("client_connections", e.front.Open()).
+		Uint64("broken", p.AttemptsBroken).Int64("box_connections", p.OpenConnections).Int("client_connections", e.front.Open()).
 		Uint64("opened", c.Opened).Uint64("cut", c.Cut).Uint64("evicted", c.Evicted).Uint64("parked", c.Parked).
 		Uint64("ended_with_open_requests", c.Abandoned).Msg("totals")
 }
--- a/internal/front/closing.go
+++ b/internal/front/closing.go
@@ -38,7 +38,7 @@
 // part ends the loop's connections that have nothing open, with last the others that are not owed an answer.
 func (l *loop) part(last bool) {
 	for k := range l.conns {
-		if k.idle() && !k.c.Unread() || last && !k.parked && k.waiting() == 0 {
+		if k.idle() && !k.c.HasUnread() || last && !k.parked && k.waiting() == 0 {
 			l.act(k, l.finish(k, shuttingDown))
 		}
 	}
@@ -85,7 +85,7 @@
 			l.s.cut.Add(1)
 			k.because(unfinishedCommand)
 			k.leaves() // answers that are awaited come first
-		case k.idle() && leaves(k.guest, seconds(), open) && !k.c.Unread():
+		case k.idle() && leaves(k.guest, seconds(), open) && !k.c.HasUnread():
 			l.act(k, l.finish(k, idleTooLong))
 		}
 	}
--- a/internal/front/linger_test.go
+++ b/internal/front/linger_test.go
@@ -36,7 +36,7 @@
 
 // lies waits, in the event loop, until what the client wrote lies in the socket.
 func lies(k *conn) {
-	for end := time.Now().Add(10 * time.Second); !k.c.Unread() && time.Now().Before(end); {
+	for end := time.Now().Add(10 * time.Second); !k.c.HasUnread() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/internal/front/output.go
+++ b/internal/front/output.go
@@ -137,7 +137,7 @@
 	switch {
 	case k.quit && k.waiting() == 0 && len(k.out) == 0:
 		return l.finish(k, asked)
-	case l.s.retiring.Load() && k.guest.Asked > 0 && k.idle() && !k.c.Unread():
+	case l.s.retiring.Load() && k.guest.Asked > 0 && k.idle() && !k.c.HasUnread():
 		return l.finish(k, shuttingDown)
 	}
 	return eventloop.None
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -116,7 +116,7 @@
 	s.pool = intake.New(intake.Limits{FreeBytes: chunkMost, TotalBytes: max(opt.Bounds.Input, opt.Bounds.Bulk), ReserveBytes: s.lim.Whole,
 		UnauthenticatedBytes: max(opt.Bounds.Input/4, strangerMost), MaxOvertakeS: passAfter})
 	var err error
-	if s.group, err = eventloop.New(s, eventloop.Options{Loops: opt.Loops, ReadBuffer: chunkMost, EndsFirst: opt.Leavers, Log: opt.Log}); err != nil {
+	if s.group, err = eventloop.New(s, eventloop.Options{Loops: opt.Loops, ReadBuffer: chunkMost, CloseOnPeerShutdown: opt.Leavers, Log: opt.Log}); err != nil {
 		return nil, fmt.Errorf("front: %w", err)
 	}
 	for _, el := range s.group.Loops() {
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -83,8 +83,8 @@
 		loops = max(1, min(4, runtime.NumCPU()/2))
 	}
 	i.pool, err = backend.New(i.loop, backend.Options{
-		Dialect:     backend.Boxes{Name: fmt.Sprintf("cometpond-%d", cfg.Me), ByAnswer: cfg.Backend.Load == "answer"},
-		Connections: cfg.Backend.Connections, Pipeline: cfg.Backend.Pipeline, Connect: cfg.Backend.Connect,
+		Dialect:     backend.RESP{Name: fmt.Sprintf("cometpond-%d", cfg.Me), LoadInReplies: cfg.Backend.Load == "answer"},
+		Connections: cfg.Backend.Connections, Pipeline: cfg.Backend.Pipeline, ConnectTimeout: cfg.Backend.Connect,
 		Loops: max(1, loops/2), Log: opt.Log.With().Str("part", "backend").Logger()})
 	if err != nil {
 		return nil, err
@@ -271,7 +271,7 @@
 			"rpc_connections_cut", c.Cut)
 	}
 	p := i.pool.Counts()
-	section("Boxes", "box_connections", p.Open, "dials", p.Dials, "dials_failed", p.DialsFailed, "attempts_broken", p.Broken)
+	section("Boxes", "box_connections", p.OpenConnections, "dials", p.Dials, "dials_failed", p.DialsFailed, "attempts_broken", p.AttemptsBroken)
 	if i.disc != nil {
 		d := i.disc.State()
 		section("Discovery", "discovery_connected", d.Connected, "list_version", d.Version, "list_boxes", d.Boxes,
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -79,7 +79,7 @@
 	ended       []*Entry // oldest first
 	answerBytes int
 	servers     map[string]*server
-	groups      map[policy.Scope][]*group
+	groups      map[policy.KeyScope][]*group
 	maxTTLS     float64
 }
 
@@ -99,7 +99,7 @@
 
 // New returns an empty table. MaxTTLS is the longest time for which servers remember a key, in seconds.
 func New(maxTTLS float64) *Table {
-	return &Table{maxTTLS: maxTTLS, entries: map[string]*Entry{}, servers: map[string]*server{}, groups: map[policy.Scope][]*group{}}
+	return &Table{maxTTLS: maxTTLS, entries: map[string]*Entry{}, servers: map[string]*server{}, groups: map[policy.KeyScope][]*group{}}
 }
 
 // UpdateServers applies a list of servers. If whole is true, servers that the list does not name are removed.
@@ -112,7 +112,7 @@
 			srv = &server{}
 			tab.servers[entry.ID] = srv
 		}
-		if entry.SinceS > srv.SinceS {
+		if entry.StartedAt > srv.StartedAt {
 			srv.unreachableSince = 0 // a new process: failures of the old one do not count
 		}
 		srv.Server = entry
@@ -134,14 +134,14 @@
 			delete(tab.servers, id)
 		}
 	}
-	for _, scope := range []policy.Scope{policy.ScopeZone, policy.ScopeCell} {
+	for _, scope := range []policy.KeyScope{policy.ScopeZone, policy.ScopeCell} {
 		tab.regroup(now, scope)
 	}
 }
 
 // regroup rebuilds the groups of a scope but keeps the time since when each has had no server that is up. A group
 // exists as long as any of its servers is known, so that the length of its outage can be measured.
-func (tab *Table) regroup(now float64, scope policy.Scope) {
+func (tab *Table) regroup(now float64, scope policy.KeyScope) {
 	byName := map[string]*group{}
 	for _, grp := range tab.groups[scope] {
 		grp.upServers = grp.upServers[:0]
@@ -224,7 +224,7 @@
 // it might run in addition to an earlier run in its home. One case is not covered: an instance that has never seen the
 // key receives the repeat just after the home group came back, or while this instance alone cannot reach that group
 // (docs/ingress.md).
-func (tab *Table) HomeServer(now float64, key string, scope policy.Scope, ttlS float64) string {
+func (tab *Table) HomeServer(now float64, key string, scope policy.KeyScope, ttlS float64) string {
 	var home *group
 	var highest uint64
 	for _, grp := range tab.groups[scope] {
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -19,7 +19,7 @@
 
 var signClass = &policy.Class{Name: "sign", Effect: policy.Keyed, KeyScope: policy.ScopeZone, KeyTTLS: 7.5}
 
-func serversByZone(states ...policy.State) []policy.Server {
+func serversByZone(states ...policy.ServerState) []policy.Server {
 	var list []policy.Server
 	for i, s := range states {
 		list = append(list, policy.Server{ID: fmt.Sprint("box", i), Zone: fmt.Sprint("room", i/2), State: s})
--- a/internal/links/links.go
+++ b/internal/links/links.go
@@ -30,8 +30,8 @@
 	Pipeline    int // attempts awaited on one of them, 1 at least
 	// RestS is how long a connection is not used after an answer while another one can be had: more than belongs
 	// to the answer may still come, and would be taken for the next one's.
-	RestS float64
-	IdleS float64 // a connection that has stood idle for so long is closed and not used any more, 0: none is
+	ReuseDelayS  float64
+	IdleTimeoutS float64 // a connection that has stood idle for so long is closed and not used any more, 0: none is
 }
 
 // Box is the connections to one box. It is not safe for concurrent use.
@@ -83,7 +83,7 @@
 // Send starts an attempt: over an idle connection, else a new one, else one that rests, else in line behind the
 // fewest. With no room at all it ends at once as Full: the box has not seen it.
 func (b *Box) Send(now float64, a core.AttemptID, payload []byte, timing policy.Timing) {
-	f := &flight{attempt: a, payload: payload, startBy: now + min(timing.StartS, timing.AnswerS), until: now + timing.AnswerS}
+	f := &flight{attempt: a, payload: payload, startBy: now + min(timing.StartWithinS, timing.AnswerWithinS), until: now + timing.AnswerWithinS}
 	b.flights[a] = f
 	b.place(now, f)
 }
@@ -94,7 +94,7 @@
 	switch {
 	case b.drains:
 		delete(b.flights, a)
-		b.fx.End(a, policy.Moot)
+		b.fx.End(a, policy.NotSent)
 	case idle != nil:
 		b.write(idle, f)
 	case len(b.links)+b.dialing < b.lim.Connections:
@@ -108,7 +108,7 @@
 		b.waiting = append(b.waiting, f)
 	default:
 		delete(b.flights, a)
-		b.fx.End(a, policy.Full)
+		b.fx.End(a, policy.Rejected)
 	}
 }
 
@@ -134,9 +134,9 @@
 		n := len(l.flights) - l.setups
 		switch {
 		case l.closed || l.last || l.dead > 0:
-		case n == 0 && b.lim.IdleS > 0 && now-l.usedAt > b.lim.IdleS:
+		case n == 0 && b.lim.IdleTimeoutS > 0 && now-l.usedAt > b.lim.IdleTimeoutS:
 			b.close(l) // the box may be closing it, which would reset whatever is written now
-		case n == 0 && l.rests && now-l.usedAt < b.lim.RestS:
+		case n == 0 && l.rests && now-l.usedAt < b.lim.ReuseDelayS:
 			if resting == nil || l.usedAt < resting.usedAt {
 				resting = l
 			}
@@ -173,7 +173,7 @@
 		l.dead--
 	case b.drains || now <= f.until: // the box is not to blame
 		delete(b.flights, a)
-		b.fx.End(a, policy.Moot)
+		b.fx.End(a, policy.NotSent)
 	default:
 		delete(b.flights, a)
 		b.fx.End(a, policy.ConnectFailed)
@@ -273,7 +273,7 @@
 func (b *Box) Withdraw(a core.AttemptID) {
 	if f := b.flights[a]; f != nil && !f.written {
 		b.Cancel(a)
-		b.fx.End(a, policy.Moot)
+		b.fx.End(a, policy.NotSent)
 	}
 }
 
@@ -370,14 +370,14 @@
 	b.waiting = nil
 	for _, f := range waiting {
 		delete(b.flights, f.attempt)
-		b.fx.End(f.attempt, policy.Moot)
+		b.fx.End(f.attempt, policy.NotSent)
 	}
 }
 
 // Sweep closes connections that have stood idle for too long.
 func (b *Box) Sweep(now float64) {
 	for _, l := range b.links {
-		if b.lim.IdleS > 0 && len(l.flights) == 0 && now-l.usedAt > b.lim.IdleS {
+		if b.lim.IdleTimeoutS > 0 && len(l.flights) == 0 && now-l.usedAt > b.lim.IdleTimeoutS {
 			b.close(l)
 		}
 	}
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -102,7 +102,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), listenFor)
 	defer cancel()
 	var ln net.Listener
-	err := syserr.Retry(ctx, syserr.Busy, func() (err error) {
+	err := syserr.Retry(ctx, syserr.ListenRetryable, func() (err error) {
 		ln, err = net.Listen("tcp", opt.Listen)
 		return err
 	})
