--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -76,7 +76,7 @@
 	var buf []byte
 	chunk := make([]byte, 4096)
 	for {
-		args, length, _, err := resp.Command(buf, nil, resp.DefaultLimits)
+		args, length, _, err := resp.ParseCommand(buf, nil, resp.DefaultLimits)
 		if err != nil {
 			n, err := conn.Read(chunk)
 			if err != nil {
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -127,7 +127,7 @@
 	used, action := 0, eventloop.None
 	var results []core.Result
 	for used < len(data) {
-		length, need, err := resp.ReplyNeed(data[used:], pool.replyLimits)
+		length, need, err := resp.ScanReply(data[used:], pool.replyLimits)
 		if err == resp.ErrIncomplete {
 			conn.need = need
 			break
@@ -174,7 +174,7 @@
 	if action == eventloop.Close {
 		used = len(data)
 	}
-	conn.input = resp.Rest(conn.input, data, used, conn.need)
+	conn.input = resp.Unprocessed(conn.input, data, used, conn.need)
 	if len(results) > 0 {
 		pool.core.HandleResults(results)
 	}
--- a/internal/edge/svc/svc_test.go
+++ b/internal/edge/svc/svc_test.go
@@ -105,7 +105,7 @@
 		t.Fatal(err)
 	}
 	for left, want := range map[float64]string{0.1239: "123", 3: "3000", 0.0001: "1"} {
-		args, n, _, err := resp.Command(Backends{}.AppendAttempt(nil, c.Payload, left), nil, limits)
+		args, n, _, err := resp.ParseCommand(Backends{}.AppendAttempt(nil, c.Payload, left), nil, limits)
 		if err != nil || n == 0 {
 			t.Fatal(err)
 		}
@@ -186,7 +186,7 @@
 		{mute, core.Answer{Kind: core.Refused, RetryAfterS: 0.25}, "-BUSY\r\n"},
 		{book(), core.Answer{Kind: core.Failed, Detail: "no\r\nluck"}, "-ERR no  luck\r\n"},
 	} {
-		if got := NewClients(c.book).Answer(nil, &core.Call{Answer: c.a}); string(got) != c.want {
+		if got := NewClients(c.book).AppendReply(nil, &core.Call{Answer: c.a}); string(got) != c.want {
 			t.Errorf("%+v: %q, want %q", c.a, got, c.want)
 		}
 	}
@@ -198,8 +198,8 @@
 	text  string
 }
 
-func (s *said) Ask(c core.Call)   { s.asked = append(s.asked, c) }
-func (s *said) Say(answer []byte) { s.text += string(answer) }
+func (s *said) Submit(c core.Call)  { s.asked = append(s.asked, c) }
+func (s *said) Reply(answer []byte) { s.text += string(answer) }
 
 func TestCommand(t *testing.T) {
 	for _, c := range []struct {
@@ -212,7 +212,7 @@
 		{[]string{"HELLO", "3"}, 0, "-ERR "}, {[]string{"PING", "x"}, 0, "-ERR "}, {[]string{"FLUSHALL"}, 0, "-ERR "}, {[]string{""}, 0, "-ERR "},
 	} {
 		s := &said{}
-		NewClients(book()).Command(s, words(c.words...))
+		NewClients(book()).HandleCommand(s, words(c.words...))
 		if len(s.asked) != c.asks || !strings.HasPrefix(s.text, c.text) || c.asks > 0 && s.text != "" {
 			t.Errorf("%v: asked %d, said %q", c.words, len(s.asked), s.text)
 		}
@@ -223,7 +223,7 @@
 func TestLimits(t *testing.T) {
 	lim := NewClients(book()).Limits()
 	for _, head := range []string{"*6\r\n", "*1\r\n$65537\r\n", "*1\r\n$60000000\r\n", "*5\r\n$65536\r\n", "*2\r\n$-1\r\n", "GET\r\n"} {
-		_, _, _, err := resp.Command([]byte(head), nil, lim)
+		_, _, _, err := resp.ParseCommand([]byte(head), nil, lim)
 		var broken resp.ProtocolError
 		if whole := head == "*5\r\n$65536\r\n"; errors.As(err, &broken) == whole {
 			t.Errorf("%q: %v", head, err)
