--- a/internal/access/access.go
+++ b/internal/access/access.go
@@ -1,5 +1,5 @@
-// Package access tells what all fronts must agree on: who a client is, which plan it is on, and which class
-// and units a command counts as.
+// Package access is the part of the configuration that all protocols for clients share: which clients there are, their
+// plans, and the class and units of each command.
 package access
 
 import (
@@ -14,26 +14,27 @@
 	"cometpond/internal/resp"
 )
 
-// Client is a customer that has proved who it is.
+// Client is an authenticated customer.
 type Client struct {
 	Name, Plan string
 }
 
-// Book holds clients and commands. It does not change after New and is safe for concurrent use.
+// Book holds the clients and commands of a configuration. It is immutable and safe for concurrent use.
 type Book struct {
-	clients  map[string]entry
-	commands map[string]*config.Command
-	list     []config.Command
-	throttle int
-	most     int
+	clients  map[string]entry           // by name
+	commands map[string]*config.Command // by name in upper case
+	list     []config.Command           // in the order of the file
+	throttle int                        // class of requests for units alone
+	most     int                        // maximum units of a request
 }
 
+// entry is a client with the hash of its secret.
 type entry struct {
 	client *Client
 	secret [sha256.Size]byte
 }
 
-// New returns the book of a settings file.
+// New returns the clients and commands of a configuration.
 func New(c *config.Config) *Book {
 	b := &Book{clients: make(map[string]entry, len(c.Clients)), commands: map[string]*config.Command{}, list: c.Commands,
 		throttle: c.Throttle, most: c.MostUnits()}
@@ -46,8 +47,8 @@
 	return b
 }
 
-// Login returns the client of that name if the secret is its own. The time it takes does not tell how much
-// of the secret was right, nor whether there is such a client.
+// Login returns the client with the given name if the secret is correct. Its duration reveals neither how much of the secret
+// was correct nor whether the client exists.
 func (b *Book) Login(name, secret string) (*Client, bool) {
 	e, known := b.clients[name]
 	sum := config.HashSecret(secret)
@@ -58,22 +59,23 @@
 	return e.client, true
 }
 
-// Commands lists the commands in the order of the file.
+// Commands returns the commands in the order of the file.
 func (b *Book) Commands() []config.Command { return b.list }
 
-// Throttle is the class in which limits are asked for.
+// Throttle returns the class of requests for units alone.
 func (b *Book) Throttle() int { return b.throttle }
 
-// MostUnits is the most units of one request.
+// MostUnits returns the maximum number of units of one request.
 func (b *Book) MostUnits() int { return b.most }
 
-// Invalid is a command that makes no sense. Its text is what Redis clients know, without the first word.
+// Invalid is the error of a malformed command. Its text is the one that Redis uses, without the error code in front.
 type Invalid string
 
+// Error returns the text for the client.
 func (e Invalid) Error() string { return string(e) }
 
-// Work translates a command's words, the name in upper case, to the call that asks for it. The words are
-// copied. An error is an Invalid; the call is then of no use. The bool is false if there is no such command.
+// Work returns the call that requests a command. words are the name, in upper case, and the arguments; they are copied. The
+// bool reports whether the command exists. Errors are of type Invalid; the call is then not valid.
 func (b *Book) Work(c *Client, words [][]byte) (core.Call, bool, error) {
 	m := b.commands[string(words[0])]
 	if m == nil {
@@ -99,18 +101,18 @@
 	return call, true, nil
 }
 
-// WrongArity is the error of a command with too few or too many words.
+// WrongArity returns the error for a command with too few or too many arguments.
 func WrongArity(name []byte) Invalid {
 	return Invalid("wrong number of arguments for '" + strings.ToLower(string(name[:min(len(name), 64)])) + "' command")
 }
 
-// Limit is the call that asks for units alone.
+// Limit returns a call that requests units of the client's quota alone, without a request to a server.
 func (b *Book) Limit(c *Client, class int, units float64) core.Call {
 	return core.Call{Client: c.Name, Plan: c.Plan, Class: class, Units: units, Limit: true}
 }
 
-// Known returns a client that another party vouches for: a gateway that asks on its behalf, or its
-// certificate.
+// Known returns the client with the given name without checking a secret. It is for clients that are authenticated by other
+// means: by a gateway that asks on their behalf, or by a certificate.
 func (b *Book) Known(name string) (*Client, bool) {
 	e, ok := b.clients[name]
 	return e.client, ok
--- a/internal/access/access_test.go
+++ b/internal/access/access_test.go
@@ -25,11 +25,11 @@
 	}
 	for _, x := range [][2]string{{"acme", "acme-secreT"}, {"acme", ""}, {"nobody", "acme-secret"}, {"nobody", ""}, {"", ""}} {
 		if c, ok := b.Login(x[0], x[1]); ok || c != nil {
-			t.Errorf("%q with %q was let in as %v", x[0], x[1], c)
+			t.Errorf("login as %q with %q succeeded as %v", x[0], x[1], c)
 		}
 	}
 	if _, ok := b.Known("nobody"); ok {
-		t.Error("nobody is known")
+		t.Error("a client that does not exist was found")
 	}
 }
 
--- a/internal/front/bounds_test.go
+++ b/internal/front/bounds_test.go
@@ -14,7 +14,7 @@
 	"cometpond/internal/resp"
 )
 
-// A client that sends far more than it may have under way, and reads only then, is asked to wait: it loses nothing.
+// A client sends far more commands than it may have in flight before it reads: reading from it is paused, and it loses nothing.
 func TestLongPipelineWaits(t *testing.T) {
 	srv, _, addr := start(t, func(b *config.Front) { b.Pipeline = 100; b.Bulk = 64 << 10 })
 	k := connect(t, addr, true)
@@ -35,11 +35,11 @@
 		t.Fatal(err)
 	}
 	if c := srv.Counts(); c.Parked == 0 || c.Cut != 0 || c.Input.Held != 0 {
-		t.Errorf("%+v: want it parked, not cut", c)
+		t.Errorf("%+v: want reading paused and no connection cut", c)
 	}
 }
 
-// A connection that is parked while answers are awaited gets them all, and goes on.
+// A connection whose reading is paused while it waits for answers gets all replies, and reading resumes.
 func TestParkedUntilAnswers(t *testing.T) {
 	srv, s, addr := start(t, func(b *config.Front) { b.Pipeline = 10; b.Bulk = 64 << 10 })
 	k := connect(t, addr, true)
@@ -54,7 +54,7 @@
 	k.expect("PING\r\n", "+PONG\r\n")
 }
 
-// One that leaves while it is parked is found gone, and the server stops with one parked.
+// A disconnect is detected while reading is paused, and the server can stop with such connections open.
 func TestParkedAndGone(t *testing.T) {
 	srv, s, addr := start(t, func(b *config.Front) { b.Pipeline = 10; b.Bulk = 64 << 10 })
 	for range 2 {
@@ -75,7 +75,7 @@
 	wait(t, func() bool { return srv.Counts().Open == 2 })
 }
 
-// A client that reads slowly gets answers many times the size of what may wait unread.
+// A client that reads slowly gets replies of many times the size that may be unsent.
 func TestSlowReader(t *testing.T) {
 	srv, _, addr := start(t, func(b *config.Front) { b.Output = 64 << 10; b.Bulk = 512 << 10 })
 	k := connect(t, addr, true)
@@ -96,6 +96,7 @@
 	}
 }
 
+// Clients that have not logged in are held to lower limits, each one and all together, and can't lock others out.
 func TestBeforeLogin(t *testing.T) {
 	srv, _, addr := start(t, func(b *config.Front) { b.Input = 1 << 20; b.Bulk = 512 << 10; b.Connections = 1000 })
 	for in, want := range map[string]string{
@@ -110,19 +111,19 @@
 	}
 	cut := srv.Counts().Cut
 	half := "*2\r\n$4\r\nECHO\r\n$16000\r\n" + strings.Repeat("x", 8000)
-	for range 60 { // 480 kB, where strangers may hold 256 kB
+	for range 60 { // 480 kB, where clients before login may hold 256 kB in all
 		connect(t, addr, false).send(half)
 	}
 	wait(t, func() bool { return srv.Counts().Cut > cut })
 	if c := srv.Counts(); c.Input.Strangers > 256<<10 {
 		t.Errorf("%+v", c.Input)
 	}
-	k := connect(t, addr, true) // one command at a time still gets in
+	k := connect(t, addr, true) // a client that has logged in can still send a large command
 	arg := strings.Repeat("y", 400_000)
 	k.expect(string(resp.AppendCommand(nil, "ECHO", arg)), "$400000\r\n"+arg+"\r\n")
 }
 
-// Many connections that send half of the largest command and stop hold no more than the bound, and others go on.
+// Many connections that send half of the largest command and stop use no more memory than allowed, and others are served.
 func TestStalledLargeCommands(t *testing.T) {
 	const conns, bulk, input = 400, 512 << 10, 8 << 20
 	srv, _, addr := start(t, func(b *config.Front) { b.Bulk, b.Input = bulk, input })
@@ -137,16 +138,16 @@
 	if c.Input.Held > input || c.Cut != 0 {
 		t.Errorf("%+v", c)
 	}
-	if used, most := heap()-before, input+conns*(chunkMost+32<<10); used > most { // the test's own clients included
-		t.Errorf("%d bytes, want %d at most", used, most)
+	if used, most := heap()-before, input+conns*(chunkMost+32<<10); used > most { // includes the test's own clients
+		t.Errorf("heap grew by %d bytes, want %d at most", used, most)
 	}
 	k := connect(t, addr, true)
 	arg := strings.Repeat("y", 10_000)
 	k.expect(string(resp.AppendCommand(nil, "ECHO", arg)), "$10000\r\n"+arg+"\r\n")
 }
 
-// BenchmarkStalledLargeCommands tells the heap, both ends, and the system's memory that 5,000 connections take
-// which each send half of the largest command and stop.
+// BenchmarkStalledLargeCommands measures the heap, of both ends, and the input memory granted to 5,000 connections that each
+// send half of the largest command and stop.
 func BenchmarkStalledLargeCommands(b *testing.B) {
 	const conns, bulk = 5000, 512 << 10
 	half := fmt.Sprintf("*2\r\n$4\r\nECHO\r\n$%d\r\n%s", bulk, strings.Repeat("x", bulk/2))
@@ -163,7 +164,7 @@
 			work.Add(1)
 			go func() {
 				defer work.Done()
-				_ = c.SetWriteDeadline(time.Now().Add(5 * time.Second)) // what the sockets do not take is not sent
+				_ = c.SetWriteDeadline(time.Now().Add(5 * time.Second)) // what the sockets do not accept is not sent
 				_, _ = io.WriteString(c, "AUTH acme acme-secret\r\n"+half)
 			}()
 		}
@@ -176,7 +177,7 @@
 	}
 }
 
-// heap is the bytes in use after a collection.
+// heap returns the bytes in use on the heap after a garbage collection.
 func heap() int {
 	runtime.GC()
 	var m runtime.MemStats
@@ -184,7 +185,7 @@
 	return int(m.HeapAlloc)
 }
 
-// When room is free again, those that wait go on, whole.
+// When input memory is free again, the connections that wait for it resume, and their commands are complete.
 func TestWaitingCommandsGoOn(t *testing.T) {
 	const bulk = 512 << 10
 	srv, _, addr := start(t, func(b *config.Front) { b.Bulk, b.Input = bulk, 1<<20 })
@@ -203,7 +204,7 @@
 	for _, k := range list {
 		k.expect("", fmt.Sprintf("$%d\r\n%s\r\n", bulk, arg))
 	}
-	wait(t, func() bool { c := srv.Counts().Input; return c.Held == 0 && c.Waiting == 0 }) // room is given back right after the answer
+	wait(t, func() bool { c := srv.Counts().Input; return c.Held == 0 && c.Waiting == 0 }) // memory is released right after the reply
 	if c := srv.Counts(); c.Cut != 0 {
 		t.Errorf("%+v", c)
 	}
--- a/internal/front/closing.go
+++ b/internal/front/closing.go
@@ -13,14 +13,14 @@
 	"cometpond/internal/eventloop"
 )
 
-// partLeast is what is left to clients at the end to take their last answers, and partMost how long it takes at most.
+// Times since the beginning of a shutdown.
 const (
-	partLeast = 50 * time.Millisecond
-	partMost  = 100 * time.Millisecond
+	partLeast = 50 * time.Millisecond  // until connections with an incomplete command are closed, too
+	partMost  = 100 * time.Millisecond // until it no longer waits for clients to close
 )
 
-// part ends all connections: those with nothing open at once, then the others, too, whatever they have begun. It returns
-// once all clients have ended, or no longer wait for it.
+// part closes all connections gracefully: at first those without open requests, and after partLeast those with an incomplete
+// command, too. It returns when all clients have closed, after partMost, or when ctx is done.
 func (s *Server) part(ctx context.Context) {
 	s.Retire()
 	start := time.Now()
@@ -35,7 +35,7 @@
 	}
 }
 
-// part ends the loop's connections that have nothing open, with last the others that are not owed an answer.
+// part closes the loop's connections that are idle, and with last also others that wait for no reply.
 func (l *loop) part(last bool) {
 	for k := range l.conns {
 		if k.idle() && !k.c.Unread() || last && !k.parked && k.waiting() == 0 {
@@ -44,7 +44,7 @@
 	}
 }
 
-// lost forgets a connection that has ended and tells the core that nobody waits for its answers.
+// lost removes a closed connection and reports its unanswered calls to the core, which need no answers any more.
 func (l *loop) lost(k *conn) {
 	s := l.s
 	s.open.Add(^uint64(0))
@@ -67,7 +67,8 @@
 	k.queue, k.head, k.in = nil, 0, nil
 }
 
-// sweep cuts connections whose command stays unfinished, or who never say who they are.
+// sweep closes connections whose command has been incomplete for too long, that have not logged in for too long, that have
+// been idle for too long, or that have lingered for too long.
 func (l *loop) sweep() {
 	now, most := time.Now(), l.s.opt.Bounds.Partial
 	for len(l.lingering) > 0 && l.lingering[0].lingerTo < seconds() {
@@ -84,22 +85,22 @@
 		case slow && !k.parked && !k.congested:
 			l.s.cut.Add(1)
 			k.because(unfinishedCommand)
-			k.leaves() // answers that are awaited come first
+			k.leaves() // replies to earlier commands are still written
 		case k.idle() && leaves(k.guest, seconds(), open) && !k.c.Unread():
 			l.act(k, l.finish(k, idleTooLong))
 		}
 	}
 }
 
-// idle tells whether a connection has nothing open: no command begun, and no answer awaited or not yet sent.
+// idle reports whether a connection is settled and no command has begun to arrive.
 func (k *conn) idle() bool { return k.settled() && len(k.in) == 0 }
 
-// settled tells whether all that a connection has asked is answered, and the answers are with the system.
+// settled reports whether all commands of a connection have their replies, and the system has accepted these.
 func (k *conn) settled() bool {
 	return !k.parked && k.waiting() == 0 && len(k.out) == 0 && !k.quit && !k.lingers
 }
 
-// evict closes the connection that gives way to a new one; false if none does.
+// evict closes an idle connection to make room for a new one, and reports whether there was one.
 func (l *loop) evict() bool {
 	var out *conn
 	now, crowd := seconds(), l.s.opt.Crowd
@@ -115,21 +116,22 @@
 	}
 	l.s.evicted.Add(1)
 	if l.act(out, l.finish(out, evictedForOther)); !out.closed && out.guest.Asked == 0 {
-		l.cut(out, evictedForOther) // nothing was sent there that a close could take back
+		l.cut(out, evictedForOther) // nothing was sent that a reset could destroy
 	}
 	return true
 }
 
-// Bounds of a lingering close.
+// Limits of a lingering close.
 const (
-	lingerS     = 1.0       // seconds
-	lingerBytes = 256 << 10 // what still comes, bytes
-	lingerShare = 8         // one of so many connections may be at it
+	lingerS     = 1.0       // duration in seconds
+	lingerBytes = 256 << 10 // bytes of input discarded
+	lingerShare = 8         // the maximum number of lingering connections is the connection limit divided by this
 )
 
-// finish ends a connection that has nothing open: its sending side at once, and the rest when the client has ended, too.
-// What comes meanwhile is thrown away. Closed at once, unread bytes would reset the connection, and with it answers that
-// are on their way; and a request that comes now was not read, so that its client sends it again elsewhere.
+// finish starts a lingering close of a connection without open requests. It closes the sending side at once, and the rest
+// when the client has closed, too; input that arrives meanwhile is discarded. If the socket were closed at once, unread input
+// would reset the connection and destroy replies that are on their way. A request that arrives after this point is never
+// processed, so its client can safely send it again elsewhere.
 func (l *loop) finish(k *conn, reason closeReason) eventloop.Action {
 	if k.lingers {
 		return eventloop.None
@@ -144,26 +146,26 @@
 	}
 	if k.parked {
 		k.parked = false
-		k.c.ResumeReading() // up to the client's end
+		k.c.ResumeReading() // to notice when the client closes
 	}
 	k.lingers, k.in, k.partial, k.lingerTo = true, nil, time.Time{}, seconds()+lingerS
 	l.s.lingering.Add(1)
 	l.lingering = append(l.lingering, k)
-	// While this instance leaves nobody new needs the room.
+	// During a shutdown there are no new connections that would need the descriptors.
 	for most := max(1, l.s.opt.Bounds.Connections/lingerShare); len(l.lingering) > most && !l.s.retiring.Load(); {
 		l.hurry()
 	}
 	return eventloop.None
 }
 
-// hurry closes the connection that has lingered the longest.
+// hurry closes the connection that has lingered the longest, without waiting for its client.
 func (l *loop) hurry() {
 	k := l.lingering[0]
 	l.lingered(k)
 	l.cut(k, lingeredTooLong)
 }
 
-// lingered takes a connection off those that linger.
+// lingered removes a connection from the list of those in a lingering close.
 func (l *loop) lingered(k *conn) {
 	if i := slices.Index(l.lingering, k); i >= 0 {
 		l.lingering = slices.Delete(l.lingering, i, i+1)
@@ -171,16 +173,15 @@
 	}
 }
 
-// leaves ends the connection once what it has asked is answered; nothing more is read.
+// leaves closes the connection once its commands have their replies. No more input is processed.
 func (k *conn) leaves() {
 	k.quit, k.partial = true, time.Time{}
 	k.loop.act(k, k.pump())
 }
 
-// closeReason is why a client's connection ended.
+// closeReason is why a client's connection was closed. The values are written to the log.
 type closeReason string
 
-// The reasons.
 const (
 	clientClosed      closeReason = "client closed"
 	connectionBroken  closeReason = "connection broken"
@@ -195,18 +196,18 @@
 	shuttingDown      closeReason = "shutting down"
 )
 
-// because notes why a connection is about to be closed; the first reason stands.
+// because records why a connection is about to be closed; only the first reason counts.
 func (k *conn) because(r closeReason) {
 	if k.reason == "" {
 		k.reason = r
 	}
 }
 
-// ended notes how a connection ended that this end did not close on purpose.
+// ended records why a connection was closed, unless this side closed it and has recorded a reason already.
 func (k *conn) ended(err error) {
 	switch {
 	case err == nil || errors.Is(err, eventloop.ErrStopped):
-		k.because(shuttingDown) // all other closes of this end have a reason by now
+		k.because(shuttingDown) // all other closes by this side have recorded a reason
 	case errors.Is(err, io.EOF):
 		k.because(clientClosed)
 	default:
@@ -215,8 +216,8 @@
 	}
 }
 
-// report logs the end of a connection, with the names of the requests that had no answer. Their loss is worth a warning
-// where it is not the client who left.
+// report logs the end of a connection, with the ids of the requests that had no answer. If there are any and it was not the
+// client that disconnected, the level is warning.
 func (k *conn) report(open []*core.Call) {
 	level := zerolog.DebugLevel
 	if len(open) > 0 && k.reason != clientClosed && k.reason != connectionBroken {
@@ -235,5 +236,5 @@
 		Int("open_requests", len(open)).Array("ids", names).Msg("client connection ended")
 }
 
-// reportedMost bounds the names of requests in one line of the log.
+// reportedMost limits the number of request ids in one log line.
 const reportedMost = 16
--- a/internal/front/command.go
+++ b/internal/front/command.go
@@ -8,7 +8,8 @@
 	"cometpond/internal/resp"
 )
 
-// throttle asks for units alone: CL.THROTTLE key max_burst count_per_period period [quantity].
+// throttle handles CL.THROTTLE key max_burst count_per_period period [quantity], which asks the core for quota units without
+// a request to a server.
 func (k *conn) throttle(args [][]byte) {
 	if len(args) != 5 && len(args) != 6 {
 		k.arity(args[0])
@@ -38,12 +39,13 @@
 	k.ask(book.Limit(k.client, book.Throttle(), float64(quantity)))
 }
 
+// noAuth is the reply to commands that need a login.
 const noAuth = "NOAUTH Authentication required."
 
-// command carries out one command: those of the connection itself here, all others by a ruling.
+// command handles one command. Those about the connection itself are handled here, all others are submitted to the core.
 func (k *conn) command(args [][]byte) {
 	name := upper(args[0])
-	switch string(name) { // before a client has said who it is
+	switch string(name) { // allowed before login
 	case "HELLO":
 		k.hello(args)
 		return
@@ -118,18 +120,21 @@
 	}
 }
 
+// ok appends the reply OK.
 func ok(b []byte) []byte { return append(b, "+OK\r\n"...) }
 
+// bulk replies with a bulk string.
 func (k *conn) bulk(s []byte) {
-	text := string(s) // the bytes of the connection's buffer do not last
+	text := string(s) // a copy, as s points into the input buffer
 	k.say(func(b []byte) []byte { return resp.AppendBulk(b, text) })
 }
 
+// arity replies that a command has the wrong number of arguments.
 func (k *conn) arity(name []byte) {
 	k.fail("ERR " + access.WrongArity(name).Error())
 }
 
-// clip is as much of a word as an error repeats.
+// clip returns as much of an argument as error messages quote.
 func clip(b []byte) string {
 	if len(b) > 64 {
 		b = b[:64]
@@ -137,7 +142,7 @@
 	return string(b)
 }
 
-// upper turns a short name to upper case in place, where it stands in the connection's buffer.
+// upper converts ASCII letters to upper case, in place.
 func upper(b []byte) []byte {
 	for i, c := range b {
 		if c >= 'a' && c <= 'z' {
@@ -147,9 +152,10 @@
 	return b
 }
 
+// is reports whether b equals word, ignoring case.
 func is(b []byte, word string) bool { return strings.EqualFold(string(b), word) }
 
-// login takes a name and a secret; false after it has answered that they are wrong.
+// login checks a name and a secret. If they are wrong it replies with an error and returns false.
 func (k *conn) login(name, secret []byte) bool {
 	c, ok := k.loop.s.opt.Book.Login(string(name), string(secret))
 	if !ok {
@@ -161,9 +167,10 @@
 	return true
 }
 
+// auth handles AUTH.
 func (k *conn) auth(args [][]byte) {
 	switch len(args) {
-	case 2: // the password alone is Redis's default user, whom there is none of
+	case 2: // a password alone stands for the default user of Redis, which does not exist here
 		k.fail("WRONGPASS invalid username-password pair or user is disabled.")
 	case 3:
 		if k.login(args[1], args[2]) {
@@ -174,6 +181,7 @@
 	}
 }
 
+// hello handles HELLO.
 func (k *conn) hello(args [][]byte) {
 	version, name := k.version, k.name
 	rest := args[1:]
@@ -225,7 +233,7 @@
 	})
 }
 
-// plain tells whether a name holds printable characters alone, and no spaces.
+// plain reports whether a client name consists of printable ASCII characters without spaces and is not too long.
 func plain(b []byte) bool {
 	for _, c := range b {
 		if c < '!' || c > '~' {
@@ -235,6 +243,7 @@
 	return len(b) <= 256
 }
 
+// clientCommand handles CLIENT.
 func (k *conn) clientCommand(args [][]byte) {
 	if len(args) < 2 {
 		k.arity(args[0])
@@ -268,13 +277,14 @@
 	}
 }
 
-// own are the commands of the connection itself, with the arity that COMMAND tells.
+// own lists the commands that the front handles itself, with the arity that COMMAND reports.
 var own = []struct {
 	name  string
 	arity int
 }{{"auth", -2}, {"hello", -1}, {"ping", -1}, {"echo", 2}, {"select", 2}, {"client", -2}, {"command", -1}, {"info", -1},
 	{"reset", 1}, {"quit", -1}, {"cl.throttle", -5}}
 
+// commands handles COMMAND.
 func (k *conn) commands(args [][]byte) {
 	list := k.loop.s.opt.Book.Commands()
 	switch {
@@ -298,10 +308,11 @@
 	}
 }
 
+// appendCommandInfo appends the entry of one command in the reply to COMMAND.
 func appendCommandInfo(b []byte, name string, arity int) []byte {
 	b = resp.AppendBulk(resp.AppendArray(b, 6), name)
 	b = resp.AppendArray(resp.AppendInt(b, int64(arity)), 0)
-	for range 3 { // first key, last key, step: none
+	for range 3 { // first key, last key and step: there are none
 		b = resp.AppendInt(b, 0)
 	}
 	return b
--- a/internal/front/commands_test.go
+++ b/internal/front/commands_test.go
@@ -13,7 +13,7 @@
 	"cometpond/internal/resp"
 )
 
-// echo is a world of two commands: SAY answers at once, and any other is asked.
+// echo is a command handler that replies to SAY itself and submits all other commands.
 type echo struct{}
 
 func (echo) Limits() resp.Limits {
@@ -30,11 +30,13 @@
 
 func (echo) Answer(dst []byte, c *core.Call) []byte { return append(dst, c.Answer.Payload...) }
 
+// openWorld returns changes of the settings for clients without a login, one event loop and at most so many connections.
 func openWorld(most int) (func(*config.Front), func(*Options)) {
 	return func(f *config.Front) { f.Connections, f.Partial = most, time.Minute },
 		func(o *Options) { o.Commands, o.Loops, o.Crowd = echo{}, 1, crowd.Standard(most, 60) }
 }
 
+// visitor connects a client that does not log in.
 func visitor(t *testing.T, addr string) *raw {
 	t.Helper()
 	c, err := dialRaw(addr)
@@ -45,6 +47,7 @@
 	return &raw{Conn: c, r: bufio.NewReader(c), t: t}
 }
 
+// says sends text and expects want, a line, as the reply.
 func (k *raw) says(text, want string) {
 	k.t.Helper()
 	if _, err := k.Write([]byte(text)); err != nil {
@@ -52,13 +55,13 @@
 	}
 	line, err := k.r.ReadString('\n')
 	if err != nil || line != want {
-		k.t.Fatalf("%q is answered %q, %v", text, line, err)
+		k.t.Fatalf("reply to %q is %q, %v", text, line, err)
 	}
 }
 
 const say = "*1\r\n$3\r\nSAY\r\n"
 
-// Commands of another world need no login; what is no command in it is one error and the end of the connection.
+// With a command handler no login is needed, and input that is not a command gets one error and the end of the connection.
 func TestCommandsOfAnotherWorld(t *testing.T) {
 	_, _, addr := startWith(t, nil, func(o *Options) { o.Commands = echo{} })
 	k := visitor(t, addr)
@@ -72,22 +75,22 @@
 		}
 		line, err := k.r.ReadString('\n')
 		if err != nil || line[0] != '-' {
-			t.Errorf("%q is answered %q, %v", bad, line, err)
+			t.Errorf("reply to %q is %q, %v; want an error", bad, line, err)
 		}
 		if _, err := k.r.ReadByte(); !errors.Is(err, io.EOF) {
-			t.Errorf("%q: the connection stands: %v", bad, err)
+			t.Errorf("%q: the connection was not closed: %v", bad, err)
 		}
 	}
 }
 
-// Guards a day on which a full house turned usual clients away, with hundreds of connections idle for seconds: the
-// first in line was one that had only just come, and nobody else was looked at.
+// At the connection limit, usual clients were rejected although hundreds of connections had been idle for seconds: only the
+// first candidate for eviction was considered, and that one had only just been opened.
 func TestFullHouseMakesRoom(t *testing.T) {
 	bounds, world := openWorld(3)
 	_, _, addr := startWith(t, bounds, world)
 	once := visitor(t, addr)
 	once.says(say, "+said\r\n")
-	time.Sleep(300 * time.Millisecond) // it may give way after that
+	time.Sleep(300 * time.Millisecond) // long enough for it to be evictable
 	fresh := visitor(t, addr)
 	if _, err := fresh.Write([]byte(say[:5])); err != nil {
 		t.Fatal(err)
@@ -97,13 +100,13 @@
 	busy.says(say, "+said\r\n")
 	visitor(t, addr).says(say, "+said\r\n")
 	if _, err := once.r.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("the one that asked once and stayed: %v", err)
+		t.Errorf("the connection idle after one request was not evicted: %v", err)
 	}
 	busy.says(say, "+said\r\n")
 	fresh.says(say[5:], "+said\r\n")
 }
 
-// A server that retires closes what is idle, and the rest once it is answered.
+// Retire closes idle connections at once, and the others after their replies.
 func TestRetire(t *testing.T) {
 	srv, s, addr := startWith(t, func(f *config.Front) { f.Partial = 100 * time.Millisecond }, func(o *Options) { o.Commands = echo{} })
 	idle, busy := visitor(t, addr), visitor(t, addr)
@@ -114,19 +117,19 @@
 	call := <-s.held
 	srv.Retire()
 	if _, err := idle.r.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("the idle one: %v", err)
+		t.Errorf("the idle connection was not closed: %v", err)
 	}
 	give(call, core.Answer{Payload: []byte("+held\r\n")})
 	if line, err := busy.r.ReadString('\n'); line != "+held\r\n" {
-		t.Errorf("the busy one is answered %q, %v", line, err)
+		t.Errorf("reply on the busy connection is %q, %v", line, err)
 	}
 	if _, err := busy.r.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("the busy one, answered: %v", err)
+		t.Errorf("the busy connection was not closed after its reply: %v", err)
 	}
 	if c, err := dialRaw(addr); err == nil {
 		defer c.Close()
 		if _, err := c.Read(make([]byte, 1)); err == nil {
-			t.Error("a new one is answered something")
+			t.Error("input on a new connection, want none")
 		}
 	}
 }
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -11,63 +11,64 @@
 	"cometpond/internal/resp"
 )
 
-// anyone is the client of a connection that needs no login.
+// anyone is the client of connections that need no login.
 var anyone access.Client
 
-// conn is one client's connection. It belongs to its event loop's goroutine.
+// conn is one client's connection. It is accessed on its event loop's goroutine alone.
 type conn struct {
 	c       *eventloop.Conn
 	loop    *loop
 	id      uint64
-	client  *access.Client // nil until it has proved who it is
-	name    string         // as CLIENT SETNAME gave it
+	client  *access.Client // nil until login
+	name    string         // set by CLIENT SETNAME
 	version int            // of RESP: 2 or 3
-	since   time.Time
-	guest   crowd.Guest // what is known of its use
-	in      []byte      // what has come in and is not used yet: the head of a command, or commands to be read later
-	need    int         // length of in before which another look is of no use
-	partial time.Time   // since when a command stands unfinished
-	readAt  float64     // when something last came in
-	old     float64     // when what is being read may have been sent, after a stall; 0: just now
-	oldNext float64     // the same of what came in last
-	args    [][]byte
-	queue   []*pending // commands whose answers have not been written, from head on
+	since   time.Time      // when it was opened
+	guest   crowd.Guest    // its use so far, for closing and evicting idle connections
+	in      []byte         // input not processed yet: the beginning of a command, or commands to be parsed later
+	need    int            // length of in below which parsing can't make progress
+	partial time.Time      // when the command that is still incomplete began to arrive, zero if there is none
+	readAt  float64        // when input last arrived
+	old     float64        // when the input being parsed may have been sent, if before a pause of the process; else 0
+	oldNext float64        // the same for the last read
+	args    [][]byte       // kept for its memory
+	queue   []*pending     // commands whose replies have not been written, from head on
 	head    int
-	granted int  // bytes that in may hold by the pool's word
-	strange int  // bytes that the pool counts as a stranger's
-	paused  bool // more commands lie unread in in
-	dirty   bool
+	granted int  // bytes of in that the pool has granted
+	strange int  // bytes of in that the pool counts for clients that have not logged in
+	paused  bool // parsing is paused with commands left in in
+	dirty   bool // is in loop.dirty
 	closed  bool
-	quit    bool // close once all is written
+	quit    bool // close once all replies are written; no more input is processed
 
-	waits  bool // for the pool's word: it is read no further
-	parked bool // read no further
-	ready  int  // while it is parked: the first in queue whose answer is awaited
+	waits  bool // reading is paused until the pool grants memory
+	parked bool // reading is paused, for any reason
+	ready  int  // while parked: index in queue of the first command without an answer, as far as is known
 
-	lingers  bool    // its sending side has ended: what still comes is thrown away until the client ends, too
-	lingered int     // so many bytes
-	lingerTo float64 // and until then
+	lingers  bool    // its sending side is closed; input is discarded until the client closes, too
+	lingered int     // bytes discarded so far
+	lingerTo float64 // when the connection is closed at the latest
 
-	reason   closeReason // why it is ending, "" while it is not
-	endError error       // the system's, if it broke
+	reason   closeReason // why it is being closed; "" while it is not
+	endError error       // the system's error, if the connection broke
 
-	out       []byte    // answers that the socket did not take yet
-	congested bool      // so many that no more are written for now
-	leftSince time.Time // when it last took some
+	out       []byte    // replies that the socket has not accepted yet
+	congested bool      // out is so large that no more replies are written for now
+	leftSince time.Time // when the socket last accepted a part of out, or out began to fill
 }
 
-// pending is a command whose answer is awaited, or stands ready behind others.
+// pending is a command whose reply has not been written yet.
 type pending struct {
 	call  core.Call
 	conn  *conn
-	ready []byte // the answer of a command that the front answers itself
-	done  bool
+	ready []byte // the reply, if it was made without the core
+	done  bool   // the reply or the core's answer is there
 }
 
+// waiting returns the number of commands whose replies have not been written.
 func (k *conn) waiting() int { return len(k.queue) - k.head }
 
-// looked notes how old what comes in now may be. A command is as old as its first byte: one that began to come
-// in before a stall, or lay in the socket, is old however late its end comes.
+// looked records the possible age of the input that arrives now. A command is as old as its first byte: one that began to
+// arrive before a pause of the process, or that lay in the socket during it, is old however late its end arrives.
 func (k *conn) looked(parked bool) {
 	if k.loop.s.opt.Age == nil {
 		return
@@ -82,7 +83,7 @@
 	}
 }
 
-// arrived takes what one read has brought. Data lasts until it returns.
+// arrived processes the data of one read, which is valid until it returns.
 func (k *conn) arrived(data []byte) eventloop.Action {
 	if k.lingers {
 		if k.lingered += len(data); k.lingered > lingerBytes {
@@ -92,7 +93,7 @@
 		return eventloop.None
 	}
 	if k.quit {
-		return eventloop.None // nothing is read after the last command
+		return eventloop.None // input after the last command is ignored
 	}
 	src := data
 	if len(k.in) > 0 {
@@ -100,7 +101,7 @@
 		src = k.in
 	}
 	if k.congested {
-		k.paused = true // no more answers until it has read those that stand
+		k.paused = true // no more replies until the client has read those in out
 	} else if len(src) >= k.need && !k.paused {
 		return k.read(src)
 	}
@@ -110,7 +111,7 @@
 	return k.hold()
 }
 
-// again reads on in what has come in before.
+// again continues parsing the input that was received before.
 func (k *conn) again() eventloop.Action {
 	k.paused = false
 	if k.quit || len(k.in) == 0 || len(k.in) < k.need {
@@ -119,7 +120,7 @@
 	return k.read(k.in)
 }
 
-// read parses and starts the commands at the start of src, which is in or what has just come, and keeps the rest.
+// read parses and starts the commands at the beginning of src, which is k.in or the data of the last read, and keeps the rest.
 func (k *conn) read(src []byte) eventloop.Action {
 	l, s := k.loop, k.loop.s
 	used := 0
@@ -156,13 +157,13 @@
 	clear(k.args)
 	if used > 0 {
 		k.guest.LastS = seconds()
-		k.partial, k.old = time.Time{}, k.oldNext // the rest is of the last read
+		k.partial, k.old = time.Time{}, k.oldNext // the rest is from the last read
 	}
 	if k.need > 0 && k.partial.IsZero() {
 		k.partial = time.Now()
 	}
 	if k.quit || broken != nil {
-		used = len(src) // nothing is read after the last command
+		used = len(src) // input after the last command is ignored
 	}
 	k.in = resp.Rest(k.in, src, used, min(k.need, chunkMost))
 	k.submit()
@@ -180,13 +181,13 @@
 	}
 	if k.congested && len(k.in) > 0 {
 		k.paused = true
-	} else if k.paused && k.waiting() < s.opt.Bounds.Pipeline { // stopped for the sake of the output alone
+	} else if k.paused && k.waiting() < s.opt.Bounds.Pipeline { // was paused only because the output batch was full
 		return k.again()
 	}
 	return k.hold()
 }
 
-// resume goes on once there is room: the pool's word, or answers that were awaited.
+// resume continues after the pool has granted memory, the core has answered or the client has read replies.
 func (k *conn) resume() eventloop.Action {
 	switch {
 	case k.closed:
@@ -209,7 +210,7 @@
 	return eventloop.None
 }
 
-// submit hands the commands parsed so far to the core, and refuses those that its queue has no room for.
+// submit passes the commands parsed so far to the core, and refuses those that the core's queue can't take.
 func (k *conn) submit() {
 	l := k.loop
 	if len(l.calls) == 0 {
@@ -224,13 +225,13 @@
 	l.calls = l.calls[:0]
 }
 
-// Ask is ask for Commands.
+// Ask submits a call to the core. It implements Conn.
 func (k *conn) Ask(c core.Call) { k.ask(c) }
 
-// Say is say for Commands.
+// Say replies to a command without the core. It implements Conn.
 func (k *conn) Say(answer []byte) { k.say(func(b []byte) []byte { return append(b, answer...) }) }
 
-// ask starts a call and keeps its place among the answers.
+// ask queues a call for submission to the core and reserves its place in the order of replies.
 func (k *conn) ask(c core.Call) {
 	p := &pending{call: c, conn: k}
 	p.call.Front, p.call.Tag = k.loop, p
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -28,12 +28,12 @@
 	goleak.VerifyTestMain(m)
 }
 
-// scripted is a core that answers by what the payload or the quantity says, on a goroutine of its own.
+// scripted is a core that answers each call, on a goroutine of its own, as its payload or its number of units asks for.
 type scripted struct {
 	mu    sync.Mutex
 	calls []*core.Call
 	gone  []*core.Call
-	room  int // calls that fit, below 0: any
+	room  int // number of calls accepted at a time, below 0: any
 	held  chan *core.Call
 	queue chan *core.Call
 	ended sync.WaitGroup
@@ -145,7 +145,7 @@
 	return srv, s, addr.String()
 }
 
-// raw is a client that sends what it is told to.
+// raw is a client that sends arbitrary bytes.
 type raw struct {
 	net.Conn
 	r *bufio.Reader
@@ -177,7 +177,7 @@
 func (k *raw) send(s string) {
 	k.t.Helper()
 	if s == "" {
-		return // a write of nothing would wait for one that is under way
+		return // an empty write would block on a write in progress
 	}
 	if _, err := io.WriteString(k, s); err != nil {
 		k.t.Fatal(err)
@@ -194,7 +194,7 @@
 	}
 }
 
-// ended expects the connection's end, after at most some bytes.
+// ended reads up to the end of the connection and checks that want is in what came before it. A reset counts as an end.
 func (k *raw) ended(want string) {
 	k.t.Helper()
 	b, err := io.ReadAll(k.r)
@@ -236,12 +236,12 @@
 		k.expect(c[0]+"\r\n", c[1]+"\r\n")
 	}
 	k.expect("", "$6\r\nserver\r\n$9\r\ncometpond\r\n$7\r\nversion\r\n$5\r\n1.0.0\r\n$5\r\nproto\r\n:3\r\n$2\r\nid\r\n:1\r\n$4\r\nmode\r\n$10\r\nstandalone\r\n$4\r\nrole\r\n$6\r\nmaster\r\n$7\r\nmodules\r\n*0\r\n")
-	k.expect("JOB.STATUS map\r\n", "%1\r\n+a\r\n:1\r\n") // unchanged in version 3
+	k.expect("JOB.STATUS map\r\n", "%1\r\n+a\r\n:1\r\n") // passed on unchanged in version 3
 	k.expect("QUIT\r\n", "+OK\r\n")
 	k.ended("")
 }
 
-// Answers come in the order of the commands, whichever is ready first.
+// Replies are written in the order of the commands, whichever is ready first.
 func TestOrder(t *testing.T) {
 	_, s, addr := start(t, nil)
 	k := connect(t, addr, true)
@@ -252,7 +252,7 @@
 	k.expect("", "+first\r\n+PONG\r\n+did k2\r\n-ERR unknown command 'NOPE', with args beginning with: \r\n+second\r\n$3\r\nend\r\n")
 }
 
-// A client that leaves is told to the core, and its late answer reaches nobody.
+// The core is told when a client disconnects, and a late answer to its request is dropped.
 func TestClientGone(t *testing.T) {
 	srv, s, addr := start(t, nil)
 	k := connect(t, addr, true)
@@ -269,7 +269,7 @@
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !done(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it did not come about in 20 s")
+			t.Fatal("condition not met within 20 s")
 		}
 	}
 }
@@ -297,7 +297,7 @@
 		slow.send("*1\r\n$4\r\nPI")
 		idle := connect(t, addr, true)
 		slow.ended("")
-		silent.ended("") // never said who it is
+		silent.ended("") // did not log in
 		idle.expect("PING\r\n", "+PONG\r\n")
 		if srv.Counts().Cut != 2 {
 			t.Errorf("%d cut, want 2", srv.Counts().Cut)
@@ -321,7 +321,7 @@
 		for n := range 25 {
 			c := <-s.held
 			if seen := s.seen(); seen > n+10 {
-				t.Fatalf("%d commands under way", seen-n)
+				t.Fatalf("%d commands in flight", seen-n)
 			}
 			give(c, core.Answer{Payload: []byte("+ok\r\n")})
 		}
@@ -343,7 +343,7 @@
 		k.send("JOB.STATUS 1\r\nJOB.STATUS 2\r\n")
 		k.expect("", "+did \r\n")
 		line, _ := k.r.ReadString('\n')
-		if !strings.HasPrefix(line, "-REFUSED") && line != "+did \r\n" { // in one read or in two
+		if !strings.HasPrefix(line, "-REFUSED") && line != "+did \r\n" { // depends on whether both arrived in one read
 			t.Errorf("%q", line)
 		}
 	})
@@ -356,7 +356,7 @@
 	})
 }
 
-// go-redis works as it comes, and neither of our words makes it send a command again by itself.
+// go-redis works with its default settings, and neither REFUSED nor FAILED makes it send a command again by itself.
 func TestGoRedis(t *testing.T) {
 	for _, version := range []int{2, 3} {
 		t.Run(fmt.Sprint("RESP", version), func(t *testing.T) {
@@ -378,7 +378,7 @@
 				t.Fatal(err)
 			}
 			if n := s.seen() - before; n != 2 {
-				t.Fatalf("%d commands came for two calls", n)
+				t.Fatalf("core received %d commands for two calls", n)
 			}
 			cmds, err := c.Pipelined(ctx, func(p redis.Pipeliner) error {
 				for i := range 300 {
@@ -391,15 +391,15 @@
 			}
 			for i, cmd := range cmds {
 				if v, _ := cmd.(*redis.Cmd).Text(); v != fmt.Sprint("did k", i) {
-					t.Fatalf("answer %d is %q", i, v)
+					t.Fatalf("reply %d is %q", i, v)
 				}
 			}
 		})
 	}
 }
 
-// When a connection breaks with a command out, go-redis sends it again by itself unless MaxRetries is -1.
-// This is what docs/clients.md tells users; the test would notice if the library changed its ways.
+// When a connection breaks with a command in flight, go-redis sends it again by itself unless MaxRetries is -1.
+// docs/clients.md describes this to users; the test detects a change of the library's behaviour.
 func TestGoRedisOnBrokenConnection(t *testing.T) {
 	for _, retries := range []int{0, -1} { // 0 is the library's default of three
 		_, s, addr := start(t, nil)
@@ -427,7 +427,7 @@
 	}
 }
 
-// rueidis repeats by itself only what it takes to be a read; ours are none of its reads.
+// rueidis sends only read-only commands again by itself, and takes none of this gateway's commands for one.
 func TestRueidis(t *testing.T) {
 	_, s, addr := start(t, nil)
 	c, err := rueidis.NewClient(rueidis.ClientOption{InitAddress: []string{addr}, Username: "acme", Password: "acme-secret",
@@ -450,20 +450,20 @@
 		}
 	}
 	if n := s.seen() - before; n != 2 {
-		t.Fatalf("%d commands came for two calls", n)
+		t.Fatalf("core received %d commands for two calls", n)
 	}
 	done := make(chan error, 1)
 	go func() { done <- ask("SIGN.SUBMIT", "k", "hold").Error() }()
 	(<-s.held).Tag.(*pending).conn.c.Close()
 	if err := <-done; err == nil {
-		t.Fatal("no error for a connection that broke")
+		t.Fatal("no error though the connection broke")
 	}
 	if n := s.seen() - before; n != 3 {
-		t.Fatalf("%d commands came, want 3: the broken one was sent again", n)
+		t.Fatalf("core received %d commands, want 3: the command of the broken connection was sent again", n)
 	}
 }
 
-// What comes and goes leaves no descriptor and no connection behind.
+// Clients that connect and disconnect leave no descriptor and no connection behind.
 func TestNothingLeaks(t *testing.T) {
 	srv, _, addr := start(t, nil)
 	connect(t, addr, true).Close()
--- a/internal/front/input.go
+++ b/internal/front/input.go
@@ -8,17 +8,17 @@
 	"cometpond/internal/resp"
 )
 
-// passAfter is how long a connection waits for memory until none passes it, seconds.
+// passAfter is how long a connection waits for memory until no other may overtake it, in seconds.
 const passAfter = 2
 
-// stranger asks for room for a connection that has not logged in.
+// stranger requests memory for the input of a connection that has not logged in.
 func (s *Server) stranger(k *conn, bytes int) intake.Verdict {
 	s.poolMu.Lock()
 	defer s.poolMu.Unlock()
 	return s.pool.Stranger(k.id, bytes)
 }
 
-// ask asks for room for one that has.
+// ask requests memory for the input of a connection that has logged in.
 func (s *Server) ask(k *conn, bytes int) intake.Verdict {
 	s.poolMu.Lock()
 	defer s.poolMu.Unlock()
@@ -30,14 +30,14 @@
 	return v
 }
 
-// done gives back what a connection held.
+// done returns a connection's memory to the pool.
 func (s *Server) done(k *conn) {
 	s.poolMu.Lock()
 	defer s.poolMu.Unlock()
 	s.granted(s.pool.Done(seconds(), k.id))
 }
 
-// leave forgets a connection.
+// leave removes a connection from the pool, with the memory that it holds and any request for more.
 func (s *Server) leave(k *conn) {
 	s.poolMu.Lock()
 	defer s.poolMu.Unlock()
@@ -45,21 +45,21 @@
 	s.granted(s.pool.Leave(seconds(), k.id))
 }
 
-// granted tells connections, on their own loops, that they may go on. The pool's lock is held.
+// granted notifies connections, each on its own loop, that the pool has granted their requests. The caller holds poolMu.
 func (s *Server) granted(ids []uint64) {
 	for _, id := range ids {
 		k := s.asking[id]
 		delete(s.asking, id)
 		if k != nil {
-			_ = k.loop.el.Execute(func() { k.loop.goOn(k) }) // an error means that the loops end
+			_ = k.loop.el.Execute(func() { k.loop.goOn(k) }) // an error means that the loops are ending
 		}
 	}
 }
 
-// goOn has a connection read on: the pool has granted what it asked for.
+// goOn resumes a connection whose request for memory was granted.
 func (l *loop) goOn(k *conn) {
 	if k.closed {
-		l.s.leave(k) // it left while the word was on its way
+		l.s.leave(k) // it was closed while the notification was on its way
 		return
 	}
 	k.waits = false
@@ -70,15 +70,15 @@
 	l.act(k, k.resume())
 }
 
-// Bounds of what one connection may hold as input, bytes.
+// Limits of the input that one connection may hold, in bytes but for strangerArgs.
 const (
-	chunkMost    = 16 << 10 // of one read: what has come in before anything can be decided about it
-	strangerMost = 16 << 10 // of a command before login, with strangerArgs arguments
-	strangerArgs = 10
-	aheadMost    = 4 << 20 // of one command, or sent ahead while answers are awaited, beyond one largest argument
+	chunkMost    = 16 << 10 // size of one read, which arrives before any limit can be applied
+	strangerMost = 16 << 10 // size of a command before login
+	strangerArgs = 10       // arguments of a command before login
+	aheadMost    = 4 << 20  // a command, or commands pipelined ahead of replies, in excess of one argument of the maximum size
 )
 
-// limits are the bounds of the next command.
+// limits returns the limits of the next command.
 func (k *conn) limits() resp.Limits {
 	if k.client == nil {
 		return strangerLimits
@@ -88,7 +88,7 @@
 
 var strangerLimits = resp.Limits{Bulk: strangerMost, Args: strangerArgs, Inline: strangerMost, Depth: 1, Whole: strangerMost}
 
-// hold asks for the room that the rest of the input takes, and has the connection read no further without it.
+// hold requests memory for the input that is left, and pauses reading from the connection if it is not granted.
 func (k *conn) hold() eventloop.Action {
 	s := k.loop.s
 	if k.client == nil {
@@ -134,7 +134,7 @@
 	return k.park()
 }
 
-// park has the connection read no further, so that the client waits.
+// park pauses reading from the connection, so that TCP flow control makes the client wait.
 func (k *conn) park() eventloop.Action {
 	k.parked, k.ready = true, k.head
 	k.loop.s.parks.Add(1)
@@ -142,13 +142,13 @@
 	return eventloop.None
 }
 
-// unpark has the connection read on.
+// unpark resumes reading from the connection.
 func (k *conn) unpark() eventloop.Action {
 	k.parked = false
 	k.c.ResumeReading()
 	k.looked(true)
 	if !k.partial.IsZero() {
-		k.partial = time.Now() // it was not the client that kept it waiting
+		k.partial = time.Now() // the delay was not the client's
 	}
 	if act := k.pump(); act != eventloop.None || k.congested {
 		return act
--- a/internal/front/linger_test.go
+++ b/internal/front/linger_test.go
@@ -14,7 +14,7 @@
 
 const hold = "*1\r\n$4\r\nhold\r\n"
 
-// inLoop runs f in the event loop, with the only connection there is.
+// inLoop runs f on the event loop, for the only connection of the server.
 func inLoop(t *testing.T, srv *Server, f func(l *loop, k *conn)) {
 	t.Helper()
 	var loops []*loop
@@ -34,13 +34,14 @@
 	<-done
 }
 
-// lies waits, in the event loop, until what the client wrote lies in the socket.
+// lies waits, on the event loop, until the client's data has arrived in the socket.
 func lies(k *conn) {
 	for end := time.Now().Add(10 * time.Second); !k.c.Unread() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 }
 
+// write sends text.
 func (k *raw) write(text string) {
 	k.t.Helper()
 	if _, err := k.Write([]byte(text)); err != nil {
@@ -48,15 +49,15 @@
 	}
 }
 
-// finishes reads up to the end, which has to be one and no reset.
+// finishes expects the text want and then a regular end of the connection, not a reset.
 func (k *raw) finishes(want string) {
 	k.t.Helper()
 	if rest, err := io.ReadAll(k.r); err != nil || string(rest) != want {
-		k.t.Errorf("%q and %v before the end, want %q and no reset", rest, err, want)
+		k.t.Errorf("got %q, %v before the end of the connection, want %q and no reset", rest, err, want)
 	}
 }
 
-// A request lies in the socket when its idle connection is to be closed: it is served, and the connection stays.
+// A request is in the socket when its idle connection is due to be closed: it is served, and the connection stays open.
 func TestRequestInTheInstantOfAnIdleClose(t *testing.T) {
 	bounds, world := openWorld(16)
 	srv, _, addr := startWith(t, bounds, world)
@@ -65,7 +66,7 @@
 	inLoop(t, srv, func(l *loop, c *conn) {
 		k.write(say)
 		lies(c)
-		c.guest.LastS = -1e9 // idle for years
+		c.guest.LastS = -1e9 // idle for a very long time
 		l.sweep()
 	})
 	if line, err := k.r.ReadString('\n'); line != "+said\r\n" {
@@ -73,8 +74,8 @@
 	}
 }
 
-// A request comes in the instant after its idle connection was closed here: it is read and thrown away, never asked, and
-// the client finds an end and no reset, so that it asks elsewhere.
+// A request arrives just after its idle connection was closed: it is discarded and never submitted, and the client sees an
+// end of the connection and no reset, so it can send the request elsewhere.
 func TestRequestBehindAnIdleClose(t *testing.T) {
 	bounds, world := openWorld(16)
 	srv, s, addr := startWith(t, bounds, world)
@@ -88,14 +89,14 @@
 	})
 	k.finishes("")
 	if n := s.seen(); n != 1 {
-		t.Errorf("%d requests asked, want the first alone", n)
+		t.Errorf("%d requests submitted, want only the first", n)
 	}
 	k.Close()
 	wait(t, func() bool { return srv.Open() == 0 && srv.lingering.Load() == 0 })
 }
 
-// What can't be read is answered with an error, and far more than one read brings lies behind it: the client gets the
-// whole error and an end.
+// A malformed command is followed by far more input than one read takes: the client gets the whole error and a regular end
+// of the connection.
 func TestErrorWithInputBehindIt(t *testing.T) {
 	_, _, addr := startWith(t, nil, func(o *Options) { o.Commands, o.Loops = echo{}, 1 })
 	k := visitor(t, addr)
@@ -107,7 +108,7 @@
 	k.finishes("")
 }
 
-// A client that goes on for ever is cut.
+// A client that never stops sending, or never closes, is disconnected during the lingering close.
 func TestLingeringIsBounded(t *testing.T) {
 	srv, _, addr := startWith(t, nil, func(o *Options) { o.Commands, o.Loops = echo{}, 1 })
 	k := visitor(t, addr)
@@ -117,7 +118,7 @@
 		_, err = k.Write(make([]byte, 64<<10))
 	}
 	if err == nil {
-		t.Error("it may send without end")
+		t.Error("the client may send without limit")
 	}
 	quiet := visitor(t, addr)
 	quiet.write("*9\r\n")
@@ -125,10 +126,10 @@
 		t.Errorf("%q, %v", line, err)
 	}
 	quiet.finishes("")
-	wait(t, func() bool { return srv.Open() == 0 }) // though it never ends by itself
+	wait(t, func() bool { return srv.Open() == 0 }) // though the client does not close
 }
 
-// The second of two commands is never finished: the first still gets its answer before the connection is cut.
+// The second of two commands is never completed: the first still gets its reply before the connection is closed.
 func TestUnfinishedCommandBehindAnOpenOne(t *testing.T) {
 	srv, s, addr := startWith(t, func(f *config.Front) { f.Partial = 50 * time.Millisecond }, func(o *Options) { o.Commands, o.Loops = echo{}, 1 })
 	k := visitor(t, addr)
@@ -139,8 +140,8 @@
 	k.finishes("+held\r\n")
 }
 
-// An instance that leaves: what comes on a new connection, or lies in the socket of an idle one, is answered, and each
-// ends after its answer; one that brings half a command and no more ends without a reset.
+// Requests that arrive during a shutdown, on a new connection or in the socket of an idle one, get their replies, and each
+// connection ends after its reply; one with half a command ends without a reset.
 func TestRetireCrossesRequests(t *testing.T) {
 	srv, s, addr := startWith(t, nil, func(o *Options) { o.Commands, o.Loops = echo{}, 1 })
 	idle := visitor(t, addr)
@@ -170,26 +171,27 @@
 	<-parted
 }
 
-// A client that leaves while it is read no further, with more of its bytes unread before its end: all that it has asked is
-// given up, and nothing behind that is asked.
+// A client disconnects while reading is paused and input before the end is unread: all its open requests are cancelled, and
+// the unread ones are not submitted.
 func TestLeavesWhileParked(t *testing.T) {
 	srv, s, addr := startWith(t, func(f *config.Front) { f.Pipeline = 10 }, func(o *Options) { o.Commands, o.Loops, o.Leavers = echo{}, 1, true })
 	for _, leave := range []func(k *raw) error{(*raw).Close, func(k *raw) error { return k.Conn.(*net.TCPConn).CloseWrite() }} {
 		parked, asked, left := srv.Counts().Parked, s.seen(), s.left()
 		k := visitor(t, addr)
-		k.write(strings.Repeat(hold, 10) + strings.Repeat(say, 2000)) // as much as the sockets take: an end behind more than that is not on the wire
+		k.write(strings.Repeat(hold, 10) + strings.Repeat(say, 2000)) // no more than the socket buffers hold: an end of the connection after more than that would not be sent
 		wait(t, func() bool { return srv.Counts().Parked == parked+1 })
 		if err := leave(k); err != nil {
 			t.Fatal(err)
 		}
 		wait(t, func() bool { return s.left() == left+10 && srv.Open() == 0 })
 		if n := s.seen() - asked; n != 10 {
-			t.Errorf("%d requests asked, want 10", n)
+			t.Errorf("%d requests submitted, want 10", n)
 		}
 	}
 }
 
-// On a new connection and on one that stands; a half-close is an end.
+// A request whose client closes its connection, or its sending side, before the request is read is not submitted, on a new
+// connection and on an older one.
 func TestClientGoneBeforeItsRequestIsRead(t *testing.T) {
 	for _, leave := range []func(k *raw) error{(*raw).Close, func(k *raw) error { return k.Conn.(*net.TCPConn).CloseWrite() }} {
 		for _, stands := range []bool{false, true} {
@@ -212,7 +214,7 @@
 			if err := leave(k); err != nil {
 				t.Fatal(err)
 			}
-			time.Sleep(20 * time.Millisecond) // both are with the system
+			time.Sleep(20 * time.Millisecond) // until the request and the end are in the socket
 			close(release)
 			opened := uint64(2)
 			if stands {
@@ -220,13 +222,14 @@
 			}
 			wait(t, func() bool { c := srv.Counts(); return c.Opened == opened && c.Open == opened-1 })
 			if n := s.seen(); n != 0 {
-				t.Errorf("%d requests asked for a client that had gone, its connection stood before: %v", n, stands)
+				t.Errorf("%d requests submitted for a client that had disconnected; older connection: %v", n, stands)
 			}
 		}
 	}
 }
 
-// The leaver's end comes behind the wait that told of its request.
+// A client closes its connection after epoll has reported its request, and before the request is read: the loop is busy with
+// another client meanwhile. The request is not submitted.
 func TestClientGoneWhileOthersAreServed(t *testing.T) {
 	entered, release := make(chan struct{}), make(chan struct{})
 	srv, s, addr := startWith(t, nil, func(o *Options) {
@@ -243,7 +246,7 @@
 	}
 	<-held
 	busy.write("*1\r\n$4\r\nSLOW\r\n")
-	time.Sleep(20 * time.Millisecond) // it is told of first
+	time.Sleep(20 * time.Millisecond) // so that epoll reports it first
 	leaver.write("*1\r\n$2\r\nGO\r\n")
 	time.Sleep(20 * time.Millisecond)
 	close(go1)
@@ -253,11 +256,11 @@
 	close(release)
 	wait(t, func() bool { return srv.Open() == 1 })
 	if n := s.seen(); n != 0 {
-		t.Errorf("%d requests asked for a client that had gone", n)
+		t.Errorf("%d requests submitted for a client that had disconnected", n)
 	}
 }
 
-// slowWorld is echo with a command that holds its loop up.
+// slowWorld is echo with a command that blocks the event loop.
 type slowWorld struct {
 	echo
 	entered, release chan struct{}
@@ -273,29 +276,29 @@
 	w.echo.Command(c, args)
 }
 
-// A full house that leaves: requests cross the ends of all its connections at once, and none is reset.
+// A shutdown with many idle connections: on each a request crosses the end of the connection, and none is reset.
 func TestRetireCrossesAFullHouse(t *testing.T) {
 	bounds, world := openWorld(16)
 	srv, s, addr := startWith(t, bounds, world)
 	var house []*raw
-	for range 12 { // far more than may linger while new ones come
+	for range 12 { // far more than may linger while new connections are accepted
 		k := visitor(t, addr)
 		k.says(say, "+said\r\n")
 		house = append(house, k)
 	}
 	srv.Retire()
-	for _, k := range house { // the end is there, and the request crosses it
+	for _, k := range house { // the server has closed its side, and the request crosses that
 		if _, err := k.r.Peek(1); err != io.EOF {
-			t.Errorf("%v, want an end", err)
+			t.Errorf("got %v, want io.EOF", err)
 		}
 		k.write("*1\r\n$2\r\nGO\r\n")
-		k.write("*1\r\n$2\r\nGO\r\n") // which would fail behind a reset
+		k.write("*1\r\n$2\r\nGO\r\n") // would fail after a reset
 	}
 	for _, k := range house {
 		k.finishes("")
 	}
 	if n := s.seen(); n != 0 {
-		t.Errorf("%d requests asked", n)
+		t.Errorf("%d requests submitted, want none", n)
 	}
 	for _, k := range house {
 		k.Close()
--- a/internal/front/loop.go
+++ b/internal/front/loop.go
@@ -7,37 +7,37 @@
 	"cometpond/internal/eventloop"
 )
 
-// loop is one event loop: its connections, and the answers on their way to them. All but the inbox belongs
-// to the loop's goroutine.
+// loop is the state of one event loop: its connections and the answers that are on their way to them. Everything but the
+// inbox is accessed on the loop's goroutine alone.
 type loop struct {
 	s     *Server
 	el    *eventloop.Loop
 	conns map[*conn]struct{}
-	buf   []byte
-	calls []*core.Call
-	dirty []*conn
+	buf   []byte       // replies to write to the current connection
+	calls []*core.Call // parsed from the current connection's input, not yet submitted
+	dirty []*conn      // connections with new answers
 
-	lingering []*conn // in the order in which they began
+	lingering []*conn // connections in a lingering close, oldest first
 
-	behind   []*conn // those with answers that their sockets did not take
-	checking bool    // a look at them is on its way
+	behind   []*conn // connections with replies that their sockets have not accepted yet
+	checking bool    // a check of these is scheduled
 
-	mu    sync.Mutex
-	inbox []*core.Call
-	up    bool // the loop will look at inbox by itself
-	spare []*core.Call
+	mu    sync.Mutex   // guards inbox and up
+	inbox []*core.Call // answered calls
+	up    bool         // the loop checks inbox by itself and needs no wake-up
+	spare []*core.Call // the previous inbox, kept for its memory
 }
 
-// sleep has the loop look at its inbox in a turn of its own.
+// sleep schedules the processing of the inbox as a separate task of the event loop.
 func (l *loop) sleep() {
 	l.mu.Lock()
 	l.up = false
 	l.mu.Unlock()
-	_ = l.el.Execute(l.run) // an error means that the loops end, and connections with them
+	_ = l.el.Execute(l.run) // an error means that the loops are ending, and the connections with them
 }
 
-// awake notes whether the loop will look at its inbox by itself. It stays awake, and false is returned, while
-// something lies there.
+// awake sets whether the loop checks its inbox by itself. While the inbox is not empty it can't be switched off, and the
+// result is false.
 func (l *loop) awake(on bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -48,18 +48,18 @@
 	return true
 }
 
-// Answered takes calls back from the core and wakes the loop.
+// Answered receives calls that the core has answered and wakes the loop if necessary. It implements core.Front.
 func (l *loop) Answered(calls []*core.Call) {
 	l.mu.Lock()
 	first := len(l.inbox) == 0 && !l.up
 	l.inbox = append(l.inbox, calls...)
 	l.mu.Unlock()
 	if first {
-		_ = l.el.Execute(l.run) // an error means that the loops end, and connections with them
+		_ = l.el.Execute(l.run) // an error means that the loops are ending, and the connections with them
 	}
 }
 
-// run writes the answers that have come to their connections.
+// run takes the answers from the inbox and writes the replies to their connections.
 func (l *loop) run() {
 	l.mu.Lock()
 	batch := l.inbox
@@ -86,14 +86,14 @@
 	l.dirty = l.dirty[:0]
 }
 
-// act carries out what came of a connection outside its own callbacks.
+// act applies the action that resulted from work on a connection outside the callbacks of the event loop.
 func (l *loop) act(k *conn, act eventloop.Action) {
 	if act == eventloop.Close {
 		l.el.Close(k.c)
 	}
 }
 
-// cut ends a connection.
+// cut closes a connection immediately.
 func (l *loop) cut(k *conn, reason closeReason) {
 	k.because(reason)
 	l.el.Close(k.c)
--- a/internal/front/output.go
+++ b/internal/front/output.go
@@ -10,7 +10,7 @@
 	"cometpond/internal/resp"
 )
 
-// fellBehind has the loop look again soon whether a client has read: a parked socket tells nobody.
+// fellBehind schedules repeated checks whether a client has read: a socket that is not watched reports no events.
 func (l *loop) fellBehind(k *conn) {
 	l.behind = append(l.behind, k)
 	if !l.checking {
@@ -18,12 +18,13 @@
 	}
 }
 
+// check schedules the next check of connections with unsent replies.
 func (l *loop) check() {
 	l.checking = true
 	l.el.After(behindCheck, l.relieve)
 }
 
-// relieve writes on to clients that have read, and cuts those that have taken nothing for too long.
+// relieve continues writing to clients that have read, and closes connections that have accepted nothing for too long.
 func (l *loop) relieve() {
 	list := l.behind
 	l.behind, l.checking = nil, false
@@ -56,7 +57,7 @@
 	}
 }
 
-// say answers a command that needs no ruling, at once or behind those that wait.
+// say replies to a command without the core. The reply is written after those to earlier commands.
 func (k *conn) say(put func([]byte) []byte) {
 	if k.waiting() == 0 {
 		k.loop.buf = put(k.loop.buf)
@@ -65,19 +66,20 @@
 	k.queue = append(k.queue, &pending{conn: k, ready: put(nil), done: true})
 }
 
+// fail replies to a command with an error.
 func (k *conn) fail(text string) {
 	k.say(func(b []byte) []byte { return resp.AppendError(b, text) })
 }
 
-// Bounds of output.
+// Limits of output.
 const (
-	outputBatch = 64 << 10             // bytes of answers gathered before they are written
-	congestMost = 256 << 10            // bytes unsent, from which on no more are written, or half of what the settings allow
-	behindCheck = 2 * time.Millisecond // between two looks at clients that do not read as fast as they are answered
+	outputBatch = 64 << 10             // bytes of replies gathered before they are written
+	congestMost = 256 << 10            // unsent bytes above which no more replies are written; at most half of the configured limit
+	behindCheck = 2 * time.Millisecond // between two checks of clients that do not read as fast as replies are written
 )
 
-// write sends what stands in the loop's buffer. What the socket does not take is kept here; past a bound no more is
-// written until the client has read.
+// write sends the replies in the loop's buffer. What the socket does not accept is kept in k.out. Above a limit no more
+// replies are written until the client has read.
 func (l *loop) write(k *conn) eventloop.Action {
 	if len(l.buf) == 0 {
 		return eventloop.None
@@ -108,7 +110,7 @@
 	return eventloop.None
 }
 
-// pump writes the answers that stand ready, in the order of their commands.
+// pump writes the replies that are ready, in the order of their commands.
 func (k *conn) pump() eventloop.Action {
 	l := k.loop
 	if k.head < len(k.queue) && k.queue[k.head].done {
@@ -143,7 +145,7 @@
 	return eventloop.None
 }
 
-// append writes one answer.
+// append appends the reply to one command.
 func (k *conn) append(b []byte, p *pending) []byte {
 	a := &p.call.Answer
 	switch {
@@ -165,11 +167,11 @@
 	return resp.AppendError(b, "FAILED "+a.Why)
 }
 
-// old tells whether a reply's type is one that version 2 has, and not an aggregate that may hold others.
+// old reports whether a reply type exists in RESP version 2 and is no aggregate, which may contain other types.
 func old(kind byte) bool { return kind == '+' || kind == '-' || kind == ':' || kind == '$' }
 
-// appendThrottle writes the five numbers of CL.THROTTLE: whether it was limited, the limit, what remains,
-// whole seconds until a retry makes sense (-1 if it passed) and until the quota is whole.
+// appendThrottle appends the five numbers of a reply to CL.THROTTLE: whether the request was limited, the limit, the remaining
+// units, and the whole seconds until a retry makes sense (-1 if the request was admitted) and until the quota is full again.
 func appendThrottle(b []byte, a *core.Answer, units float64) []byte {
 	limited, retry := int64(0), int64(-1)
 	if a.Kind == core.Refused && units > 0 {
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -1,5 +1,5 @@
-// Package front serves clients that speak RESP: it parses commands, asks the core for rulings and writes
-// the answers in the order of the commands. It decides nothing about quotas, classes or boxes.
+// Package front serves clients that speak RESP. It parses commands, submits requests to the core and writes the replies in
+// the order of the commands. It makes no decisions about quotas, classes or servers.
 package front
 
 import (
@@ -22,63 +22,70 @@
 	"cometpond/internal/resp"
 )
 
-// Core is what a front needs of the core.
+// Core is the part of the core that the front uses. Submit takes calls and returns how many of them were accepted, from the
+// first one on. Gone reports calls whose client has disconnected.
 type Core interface {
 	Submit(calls []*core.Call) int
 	Gone(calls []*core.Call)
 }
 
-// Commands is what the words of clients mean, and how rulings read to them. Its methods are called on the event
-// loops, several at once, and must not block.
+// Commands interprets the commands of clients and encodes the replies. Its methods are called on the event loops, possibly
+// concurrently, and must not block.
 type Commands interface {
-	// Command takes one command, one word at least. The words last until it returns. It calls Ask or Say once.
+	// Command handles one command, which has at least one argument. The arguments are valid until it returns. It calls
+	// Conn.Ask or Conn.Say exactly once.
 	Command(c Conn, args [][]byte)
-	// Answer appends the final answer to a call that was asked.
+	// Answer appends the reply to a call that was submitted and has its final answer.
 	Answer(dst []byte, c *core.Call) []byte
-	// Limits bound a command. What is beyond them ends the connection with an error.
+	// Limits returns the size limits of a command. A command that exceeds them ends the connection with an error.
 	Limits() resp.Limits
 }
 
-// Conn is a client's connection as Commands see it.
+// Conn is a client's connection as a command handler sees it.
 type Conn interface {
-	Ask(c core.Call)   // has the core rule on the command
-	Say(answer []byte) // answers it at once, or behind those that wait; the slice is copied
+	// Ask submits the command to the core.
+	Ask(c core.Call)
+	// Say replies to the command without the core, after the replies to earlier commands. The slice is copied.
+	Say(answer []byte)
 }
 
 // Options are the settings of a Server.
 type Options struct {
-	Listen string // host:port; port 0 takes a free one
-	Loops  int    // event loops, 1 at least
+	Listen string // host:port; port 0 selects a free port
+	Loops  int    // number of event loops, at least 1
 	Bounds config.Front
-	// Commands are those of a world without logins, in which each command is an array of one word at least. Nil:
-	// this gateway's own, with the clients of Book.
+	// Commands handles the commands of clients that do not log in; each command is then an array of at least one
+	// argument. With nil the front serves this gateway's own commands, to the clients of Book.
 	Commands Commands
 	Book     *access.Book
-	// Leavers has a client that ends its connection, or its sending, count as gone at once, also while it is read no
-	// further: what it has asked is given up, and what it sent before its end is not read. Otherwise that is read first.
+	// Leavers makes the end of a client's connection, or of its sending side, take effect at once, even while reading is
+	// paused: its open requests are cancelled and input received before the end is discarded. Otherwise that input is
+	// processed first.
 	Leavers bool
-	Crowd   crowd.Limits  // when connections without a request give way; the zero value keeps them
-	Info    func() string // the text of INFO
-	// Age tells how long ago, at most, what is read now from a connection may have been sent, and the time of
-	// this reading; readAt is the time of its last one, and parked tells that it was not read since on purpose.
-	// Nil: nothing is old.
+	Crowd   crowd.Limits  // when idle connections are closed or evicted; with the zero value they are kept
+	Info    func() string // returns the text of the INFO command
+	// Age returns the maximum age of the input that is being read, and the current time. readAt is the time of the
+	// previous read from the connection, and parked means that reading was paused on purpose since then. With nil the
+	// age of input is always 0.
 	Age func(readAt float64, parked bool) (ageS, now float64)
-	// Read returns what is used of the bytes that have come in at once; nil: all of them. The rigs put the fault of losing
-	// some back.
+	// Read filters each chunk of input and returns the bytes to process; with nil all are processed. Tests use it to
+	// inject loss of input.
 	Read func(data []byte) []byte
 	Log  zerolog.Logger
 }
 
-// Counts are totals since the start.
+// Counts are totals since the start, but for Open and Input, which are current values.
 type Counts struct {
+	// Connections opened and currently open; commands read; connections closed for exceeding a limit or violating the
+	// protocol; logins denied.
 	Opened, Open, Commands, Cut, Denied uint64
-	Parked                              uint64 // times that a connection was left unread for a while
-	Evicted                             uint64 // connections closed for the sake of new ones
-	Abandoned                           uint64 // requests whose connection ended here before their answer
+	Parked                              uint64 // times that reading from a connection was paused
+	Evicted                             uint64 // idle connections closed to make room for new ones
+	Abandoned                           uint64 // requests whose connection was closed by this side before the reply
 	Input                               intake.Counts
 }
 
-// Server is the front on its event loops.
+// Server accepts connections of clients and serves them on event loops.
 type Server struct {
 	opt      Options
 	core     Core
@@ -91,20 +98,20 @@
 
 	loops map[*eventloop.Loop]*loop
 
-	poolMu sync.Mutex // covers pool and asking
+	poolMu sync.Mutex // guards pool and asking
 	pool   *intake.Pool
-	asking map[uint64]*conn // connections that wait for the pool's word
+	asking map[uint64]*conn // connections that wait for the pool to grant them memory
 
-	lingering atomic.Int64 // connections whose sending side has ended
+	lingering atomic.Int64 // connections whose sending side this server has closed
 
 	nextID                                                         atomic.Uint64
 	opened, open, commands, cut, denied, parks, evicted, abandoned atomic.Uint64
 }
 
-// listenFor is how long Start waits for an address that it can't have at once.
+// listenFor is how long Start keeps trying to listen on an address that is not available at once.
 const listenFor = 2 * time.Second
 
-// Start listens and serves until Stop.
+// Start listens on the address of opt and serves clients until Stop.
 func Start(c Core, opt Options) (*Server, error) {
 	s := &Server{opt: opt, core: c, stop: make(chan struct{}), loops: map[*eventloop.Loop]*loop{}, asking: map[uint64]*conn{}}
 	s.boundByDescriptors()
@@ -133,36 +140,37 @@
 	return s, nil
 }
 
-// boundByDescriptors lowers the bound on connections to what the system's limit of descriptors leaves room for: servers,
-// discovery and other instances need some as well.
+// boundByDescriptors lowers the limit on connections according to the system's limit on file descriptors. A quarter and 64
+// descriptors are left for connections to servers, discovery and other instances.
 func (s *Server) boundByDescriptors() {
 	var files unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &files); err != nil || files.Cur >= 1<<30 {
 		return
 	}
 	if most := max(1, int(files.Cur)*3/4-64); s.opt.Bounds.Connections > most {
-		s.opt.Log.Warn().Int("connections", most).Uint64("descriptors", files.Cur).Msg("fewer connections than set: raise ulimit -n")
+		s.opt.Log.Warn().Int("connections", most).Uint64("descriptors", files.Cur).Msg("connection limit lowered to fit the file descriptor limit; raise ulimit -n")
 		s.opt.Bounds.Connections = most
 	}
 }
 
-// Addr is the address that the server listens on.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() net.Addr { return s.group.Addr() }
 
-// Drain turns new connections away; those that stand go on.
+// Drain makes the server reject new connections; existing ones are still served.
 func (s *Server) Drain() { s.stopping.Store(true) }
 
-// Retire ends each connection as soon as it has nothing open, new ones after their first answer.
+// Retire makes the server close each connection as soon as it has no open request, and new connections after their first
+// reply.
 func (s *Server) Retire() {
 	if s.retiring.CompareAndSwap(false, true) {
 		s.look()
 	}
 }
 
-// Open is the number of connections that stand.
+// Open returns the number of open connections.
 func (s *Server) Open() int { return int(s.open.Load()) }
 
-// Flush returns once every answer handed over so far has been written or lies in a socket's buffer.
+// Flush returns once every reply produced so far has been handed to the operating system, or when ctx is done.
 func (s *Server) Flush(ctx context.Context) {
 	for _, l := range s.loops {
 		for behind := 1; behind > 0; {
@@ -182,7 +190,7 @@
 	}
 }
 
-// Stop ends all connections and returns when the loops have ended.
+// Stop closes all connections and returns when the event loops have ended.
 func (s *Server) Stop(ctx context.Context) {
 	s.Drain()
 	s.part(ctx)
@@ -191,6 +199,7 @@
 	s.group.Stop()
 }
 
+// seconds returns the time since the process started, in seconds.
 func seconds() float64 { return time.Since(processStart).Seconds() }
 
 var processStart = time.Now()
@@ -203,15 +212,15 @@
 	return Counts{s.opened.Load(), s.open.Load(), s.commands.Load(), s.cut.Load(), s.denied.Load(), s.parks.Load(), s.evicted.Load(), s.abandoned.Load(), input}
 }
 
-// OnOpen takes a new connection in.
+// OnOpen accepts or rejects a new connection. It implements eventloop.Handler.
 func (s *Server) OnOpen(c *eventloop.Conn) eventloop.Action {
 	s.opened.Add(1)
 	open := s.open.Add(1)
 	l := s.loops[c.Loop()]
 	if most := s.opt.Bounds.Connections - s.opt.Bounds.Connections/lingerShare; int64(open)-s.lingering.Load() > int64(most) && !l.evict() {
 		s.cut.Add(1)
-		_, _ = c.Send([]byte("-ERR max number of clients reached\r\n")) // as much as it takes
-		return eventloop.Close                                          // unread: there is no descriptor to keep it with
+		_, _ = c.Send([]byte("-ERR max number of clients reached\r\n")) // best effort
+		return eventloop.Close                                          // without reading to its end: the descriptor is needed
 	}
 	k := &conn{c: c, loop: l, id: s.nextID.Add(1), version: 2, since: time.Now()}
 	if s.opt.Commands != nil {
@@ -232,10 +241,10 @@
 	return eventloop.None
 }
 
-// OnClose forgets a connection.
+// OnClose removes a connection that has been closed. It implements eventloop.Handler.
 func (s *Server) OnClose(c *eventloop.Conn, err error) {
 	k, ok := c.Context().(*conn)
-	if !ok { // it was turned away
+	if !ok { // rejected in OnOpen
 		s.open.Add(^uint64(0))
 		return
 	}
@@ -243,7 +252,7 @@
 	k.loop.lost(k)
 }
 
-// OnData takes what has come in.
+// OnData processes input from a connection. It implements eventloop.Handler.
 func (s *Server) OnData(c *eventloop.Conn, data []byte) eventloop.Action {
 	k, ok := c.Context().(*conn)
 	if !ok {
@@ -256,16 +265,16 @@
 	l := k.loop
 	l.awake(true)
 	act := k.arrived(data)
-	for act == eventloop.None && !l.awake(false) { // answers that came meanwhile, as a rule to what has just been read
+	for act == eventloop.None && !l.awake(false) { // answers that arrived meanwhile, usually to the commands just read
 		l.run()
 	}
-	if act != eventloop.None && !l.awake(false) { // the connection ends: the answers are others', and their turn is next
+	if act != eventloop.None && !l.awake(false) { // the connection ends: the answers belong to others and are processed next
 		l.sleep()
 	}
 	return act
 }
 
-// sweep looks once a second for connections that take up room and do nothing with it.
+// sweep checks all connections periodically, at least once a second, and closes those that use up resources without progress.
 func (s *Server) sweep() {
 	defer s.sweeper.Done()
 	tick := time.NewTicker(min(time.Second, max(s.opt.Bounds.Partial/8, 10*time.Millisecond)))
@@ -283,12 +292,12 @@
 	}
 }
 
-// look has all loops look for connections that are to end.
+// look makes all event loops check which of their connections are to be closed.
 func (s *Server) look() { s.each((*loop).sweep) }
 
-// each runs f in every event loop; it does not wait.
+// each runs f on every event loop, without waiting for it.
 func (s *Server) each(f func(l *loop)) {
 	for el, l := range s.loops {
-		_ = el.Execute(func() { f(l) }) // an error means that the loops end, and then nothing is left to do
+		_ = el.Execute(func() { f(l) }) // an error means that the loops are ending, and nothing is left to do
 	}
 }
--- a/internal/front/wire_test.go
+++ b/internal/front/wire_test.go
@@ -17,7 +17,7 @@
 	"cometpond/internal/resp"
 )
 
-// transcript is commands of every kind that the front knows, with the answers of both versions.
+// transcript returns commands of every kind that the front knows, and the replies expected with a version of RESP.
 func transcript(version int) (in []byte, want string) {
 	add := func(answer string, words ...string) {
 		in = resp.AppendCommand(in, words...)
@@ -50,7 +50,7 @@
 	return in, want
 }
 
-// talk sends pieces with a pause between them and returns all answers until the connection's end.
+// talk sends pieces with a pause between them and returns all replies up to the end of the connection.
 func talk(addr string, pause time.Duration, pieces ...[]byte) (string, error) {
 	c, err := dialRaw(addr)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return string(b), err
 }
 
-// sameID gives every connection the same number.
+// sameID replaces the connection's id in a reply to HELLO, which differs between connections.
 func sameID(s string) string {
 	i := strings.Index(s, "\r\nid\r\n:")
 	if i < 0 {
@@ -83,7 +83,7 @@
 	return s[:i] + "ID" + s[i+n:]
 }
 
-// A run of commands cut in two at every byte, and sent a byte at a time, has the answers of the whole.
+// A sequence of commands split in two at any byte, or sent a byte at a time, gets the same replies as when sent at once.
 func TestCommandsInPieces(t *testing.T) {
 	_, _, addr := start(t, nil)
 	for _, version := range []int{2, 3} {
@@ -116,7 +116,7 @@
 	}
 }
 
-// Arguments up to the bound come through whole, however they are cut, with commands before and behind them.
+// Arguments up to the size limit arrive complete however they are split, with commands before and after them.
 func TestLargeArguments(t *testing.T) {
 	const most = 512 << 10
 	_, s, addr := start(t, func(b *config.Front) { b.Bulk = most; b.Output = 4 << 20 })
@@ -128,7 +128,7 @@
 		in = resp.AppendCommand(in, "PING")
 		go func() {
 			for len(in) > 0 {
-				n := min(len(in), 1+rand.IntN(100_000)) // any cut must do
+				n := min(len(in), 1+rand.IntN(100_000)) // any split must do
 				_, _ = k.Write(in[:n])
 				in = in[n:]
 			}
@@ -146,7 +146,7 @@
 	k.ended("+PONG\r\n-ERR Protocol error: invalid bulk length\r\n")
 }
 
-// Whatever the commands and wherever they are cut, the answers are those of the whole.
+// Whatever the commands and wherever they are split, the replies are the same as when they are sent at once.
 func TestAnyCutting(t *testing.T) {
 	_, _, addr := start(t, func(b *config.Front) { b.Pipeline = 7 })
 	rapid.Check(t, func(t *rapid.T) {
@@ -172,8 +172,8 @@
 	})
 }
 
-// A command is as old as its first byte: one that lay half in the socket during a stall is old when its end comes,
-// and the one behind it, which came later, is not.
+// A command is as old as its first byte: one that lay half in the socket during a pause of the process is old when its end
+// arrives, and the one after it, which arrived later, is not.
 func TestAgeOfCommandsAfterAStall(t *testing.T) {
 	var mu sync.Mutex
 	age, looks := 0.0, 0
@@ -190,7 +190,7 @@
 	in := string(resp.AppendCommand(nil, "JOB.STATUS", "1"))
 	set(4)
 	mu.Lock()
-	before := looks // nothing else is read now
+	before := looks // no other read is in progress
 	mu.Unlock()
 	k.send(in[:10])
 	wait(t, func() bool { mu.Lock(); defer mu.Unlock(); return looks > before })
@@ -204,7 +204,7 @@
 	}
 }
 
-// FuzzCutting: whatever bytes come, the answers do not depend on where they are cut.
+// FuzzCutting checks for arbitrary input that the replies do not depend on where it is split.
 func FuzzCutting(f *testing.F) {
 	login := string(resp.AppendCommand(nil, "AUTH", "acme", "acme-secret"))
 	for _, s := range []string{"PING\r\nECHO 'a b'\r\n", "*2\r\n$4\r\nECHO\r\n$5\r\nhello\r\nPING\r\n", "*1\r\n$4\r\nPI", "*2\r\n$4\r\nECHO\r\n$99999\r\n",
@@ -215,9 +215,9 @@
 	_, _, addr := start(f, nil)
 	f.Fuzz(func(t *testing.T, in, cuts []byte) {
 		if len(in) > 10_000 || len(cuts) > 50 || bytes.Contains(bytes.ToUpper(in), []byte("ID")) || bytes.Contains(bytes.ToUpper(in), []byte("HELLO")) {
-			return // connections are numbered, and each has its own
+			return // the replies contain the connection's id, which differs
 		}
-		in = append(in[:len(in):len(in)], "\r\nQUIT\r\n*1\r\n$4\r\nQUIT\r\n"...) // ends whatever is left open
+		in = append(in[:len(in):len(in)], "\r\nQUIT\r\n*1\r\n$4\r\nQUIT\r\n"...) // completes whatever command is incomplete, and ends the connection
 		send := func(pieces ...[]byte) string {
 			c, err := dialRaw(addr)
 			if err != nil {
@@ -226,7 +226,7 @@
 			defer c.Close()
 			for _, p := range pieces {
 				if _, err := c.Write(p); err != nil {
-					break // the server has ended it, and its answer stands
+					break // the server has closed the connection after its replies
 				}
 				time.Sleep(100 * time.Microsecond)
 			}
@@ -241,7 +241,7 @@
 			pieces, rest = append(pieces, rest[:n]), rest[n:]
 		}
 		whole, cut := send(in), send(append(pieces, rest)...)
-		if !strings.HasPrefix(whole, cut) && !strings.HasPrefix(cut, whole) { // a broken end may come before the last answer
+		if !strings.HasPrefix(whole, cut) && !strings.HasPrefix(cut, whole) { // a reset may arrive before the last reply
 			t.Fatalf("%q in pieces of %v:\n got %q\nwant %q", in, cuts, cut, whole)
 		}
 	})
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,5 +1,5 @@
-// Package logsink writes a log without ever holding up or ending the program that logs: a file that is full, a pipe that
-// nobody reads or whose reader is gone costs lines of the log and nothing else.
+// Package logsink writes a log without ever blocking or terminating the program that logs. If the file system is full, or a
+// pipe is not read or its reader has exited, log lines are lost and nothing else happens.
 package logsink
 
 import (
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// queueLines bounds the lines that wait to be written; one more is dropped.
+// queueLines is the maximum number of lines that wait to be written; further lines are dropped.
 const queueLines = 4096
 
-// Writer is an io.Writer whose writes neither block nor fail. It is safe for concurrent use until Close.
+// Writer is an io.Writer whose writes neither block nor fail. It is safe for concurrent use, until Close is called.
 type Writer struct {
 	out     io.Writer
 	queue   chan []byte
@@ -23,7 +23,8 @@
 	dropped atomic.Uint64
 }
 
-// New returns a Writer that passes lines on. From then on a broken pipe no longer ends the process.
+// New returns a Writer that writes lines to out in the background. It makes the process ignore SIGPIPE, so that a broken pipe
+// does not terminate it.
 func New(out io.Writer) *Writer {
 	signal.Ignore(syscall.SIGPIPE)
 	w := &Writer{out: out, queue: make(chan []byte, queueLines), done: make(chan struct{})}
@@ -31,6 +32,7 @@
 	return w
 }
 
+// run writes lines from the queue until it is closed, and reports dropped lines in the log after the next line that is written.
 func (w *Writer) run() {
 	defer close(w.done)
 	told := uint64(0)
@@ -47,7 +49,7 @@
 	}
 }
 
-// Write takes one line. It is dropped if too many wait.
+// Write queues one line. The line is dropped if the queue is full.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case w.queue <- bytes.Clone(line):
@@ -57,10 +59,10 @@
 	return len(line), nil
 }
 
-// Dropped is how many lines were not written so far.
+// Dropped returns the number of lines that were lost so far, because the queue was full or writing failed.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Close writes what waits, for so long at most. Nothing may be written after it.
+// Close waits until the queued lines are written, but no longer than timeout. Write must not be called after it.
 func (w *Writer) Close(most time.Duration) {
 	close(w.queue)
 	select {
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// stuck blocks each write until it is let go.
+// stuck blocks all writes until let is closed, and then returns err from each.
 type stuck struct {
 	let  chan struct{}
 	mu   sync.Mutex
@@ -34,12 +34,12 @@
 		}
 	}
 	if took := time.Since(start); took > 5*time.Second {
-		t.Errorf("writes that nobody reads took %v", took)
+		t.Errorf("writes to a blocked output took %v", took)
 	}
-	if n := w.Dropped(); n < 99 || n > 100 { // one may be on its way
-		t.Errorf("%d lines dropped, want those beyond the queue", n)
+	if n := w.Dropped(); n < 99 || n > 100 { // one may have been taken off the queue
+		t.Errorf("%d lines dropped, want those that exceed the queue", n)
 	}
-	w.Close(time.Millisecond) // does not wait for ever
+	w.Close(time.Millisecond) // returns although the output is blocked
 	close(s.let)
 	<-w.done
 	if n := strings.Count(s.text.String(), "line\n"); n != queueLines+100-int(w.Dropped()) {
--- a/internal/resp/parse.go
+++ b/internal/resp/parse.go
@@ -1,6 +1,6 @@
-// Package resp parses and writes the Redis serialization protocol, versions 2 and 3, by its public
-// specification (redis.io/docs/latest/develop/reference/protocol-spec). It works on byte slices that the
-// caller holds: it reads no socket, keeps nothing between calls and copies nothing.
+// Package resp parses and writes the Redis serialization protocol (RESP), versions 2 and 3, according to its public
+// specification (redis.io/docs/latest/develop/reference/protocol-spec). It works on byte slices of the caller: it reads
+// no socket, keeps no state between calls, and results of parsing point into the caller's slice where possible.
 package resp
 
 import (
@@ -9,29 +9,31 @@
 	"strconv"
 )
 
-// Limits bounds what a parser takes. Each is checked against the announced size, before the bytes
-// themselves have come in.
+// Limits limits the size of commands and replies that a parser accepts. Sizes are checked when they are announced, before
+// the data itself has arrived.
 type Limits struct {
-	Bulk   int  // bytes of one string, 1 at least
-	Args   int  // arguments of one command, or elements of a reply in all, 1 at least
-	Inline int  // bytes of a line: an inline command, a header, a simple string
+	Bulk   int  // bytes of one string, at least 1
+	Args   int  // arguments of one command, or elements of a reply over all levels, at least 1
+	Inline int  // bytes of a line: an inline command, a header or a simple string
 	Depth  int  // levels of nested arrays, maps and sets in a reply
-	Whole  int  // bytes of one command in all, 0: not bounded
-	Arrays bool // commands are arrays alone, never inline lines
+	Whole  int  // bytes of one command, 0: no limit
+	Arrays bool // commands must be arrays; inline commands are an error
 }
 
-// DefaultLimits suit commands and answers of some hundred kilobytes.
+// DefaultLimits suit commands and replies of some hundred kilobytes.
 var DefaultLimits = Limits{Bulk: 512 << 10, Args: 1024, Inline: 16 << 10, Depth: 8}
 
-// ProtocolError tells what broke the framing. The connection can't be read any further.
+// ProtocolError is a violation of the protocol. The rest of the connection's input can't be parsed.
 type ProtocolError string
 
+// Error returns the message in the form that Redis uses.
 func (e ProtocolError) Error() string { return "Protocol error: " + string(e) }
 
-// ErrIncomplete says that the bytes so far are the beginning of something whole.
+// ErrIncomplete means that the input so far is the beginning of a command or reply.
 var ErrIncomplete = errors.New("incomplete")
 
-// line returns the line that starts at from, without its end, and where the next one starts.
+// line returns the line that starts at from, without its line end, and the offset of the next one. The line may be max bytes
+// long, with a carriage return.
 func line(buf []byte, from, most int) (text []byte, next int, err error) {
 	i := bytes.IndexByte(buf[from:], '\n')
 	if i < 0 {
@@ -50,7 +52,7 @@
 	return text, from + i + 1, nil
 }
 
-// number reads a whole number as headers carry it: digits with an optional minus, nothing else.
+// number parses the integer of a header: digits with an optional minus sign, and nothing else.
 func number(b []byte) (int, bool) {
 	if len(b) == 0 || len(b) > 18 {
 		return 0, false
@@ -72,10 +74,10 @@
 	return n, len(b) > 0
 }
 
-// Command reads the command at the start of buf, an array of bulk strings or an inline line. The
-// arguments are appended to args and point into buf. n is the bytes that the command took; with no
-// arguments but n above 0 the line was empty and is to be skipped. Errors are ErrIncomplete, with need as
-// the least length of buf at which another look is worth it, or a ProtocolError.
+// Command parses the command at the start of buf, which is an array of bulk strings or an inline command. The arguments are
+// appended to args; they point into buf, but for quoted arguments of inline commands. n is the length of the command in bytes;
+// with no arguments and n above 0 the command was empty and is to be skipped. Errors are ErrIncomplete, with need as the minimum
+// length of buf for which parsing can make progress, or a ProtocolError.
 func Command(buf []byte, args [][]byte, lim Limits) (out [][]byte, n, need int, err error) {
 	if len(buf) == 0 {
 		return args, 0, 1, ErrIncomplete
@@ -124,6 +126,7 @@
 	return args, at, 0, nil
 }
 
+// printable returns c for an error message, escaped if it is not printable ASCII.
 func printable(c byte) string {
 	if c < ' ' || c > '~' {
 		return "\\x" + strconv.FormatUint(uint64(c)|0x100, 16)[1:]
@@ -131,7 +134,8 @@
 	return string(c)
 }
 
-// inline splits an inline command at spaces; quotes group, and a backslash in double quotes escapes.
+// inline splits an inline command at spaces and tabs. Arguments may be quoted; in double quotes a backslash escapes the next
+// character, in single quotes only a single quote.
 func inline(s []byte, args [][]byte, most int) ([][]byte, error) {
 	for i := 0; i < len(s); {
 		if s[i] == ' ' || s[i] == '\t' {
@@ -170,6 +174,7 @@
 	return args, nil
 }
 
+// unescape returns the character that c stands for after a backslash.
 func unescape(c byte) byte {
 	switch c {
 	case 'n':
@@ -182,17 +187,18 @@
 	return c
 }
 
-// Reply returns the length of the reply at the start of buf. Attributes that precede it are part of it.
-// Errors are ErrIncomplete and ProtocolError.
+// Reply returns the length of the reply at the start of buf in bytes. Attributes that precede a reply are part of it. Errors
+// are ErrIncomplete or a ProtocolError.
 func Reply(buf []byte, lim Limits) (int, error) {
 	n, _, err := ReplyNeed(buf, lim)
 	return n, err
 }
 
-// ReplyNeed is Reply that tells with ErrIncomplete the least length of buf at which another look is worth it.
+// ReplyNeed is like Reply, and with ErrIncomplete it also returns the minimum length of buf for which parsing can make
+// progress.
 func ReplyNeed(buf []byte, lim Limits) (n, need int, err error) {
 	at, elements := 0, lim.Args
-	var open [32]int // elements left on each open level
+	var open [32]int // elements left on each level of nesting
 	depth := 0
 	for {
 		if at >= len(buf) {
@@ -243,7 +249,7 @@
 			return 0, 0, ProtocolError("unknown reply type '" + printable(kind) + "'")
 		}
 		if attribute {
-			children++ // the reply that it belongs to follows in its place
+			children++ // the reply that the attribute belongs to follows
 		}
 		if children > 0 {
 			if depth >= min(lim.Depth, len(open)) {
@@ -265,9 +271,10 @@
 	}
 }
 
-// Rest returns what is to be held until more comes in, after used bytes of src were taken. Held is what was held
-// before; src is held itself where that is not empty, and else memory that does not last. Room is the least
-// capacity to begin with, bytes. Nothing left is nil, so that an idle connection holds no memory.
+// Rest returns the unprocessed input to keep until more arrives, after the first used bytes of src were processed. held is the
+// input kept so far. If it is not empty, src must be the same slice; otherwise src is only valid during the call, and the rest is
+// copied to a new slice with a capacity of at least room bytes. If nothing is left the result is nil, so that an idle connection
+// occupies no memory.
 func Rest(held, src []byte, used, room int) []byte {
 	rest := src[used:]
 	switch {
@@ -281,7 +288,7 @@
 	return append(make([]byte, 0, max(len(rest), room)), rest...)
 }
 
-// SplitAttribute parts a whole reply into its leading attribute, nil if there is none, and the rest.
+// SplitAttribute splits a complete reply into its leading attribute, nil if there is none, and the rest.
 func SplitAttribute(reply []byte, lim Limits) (attr, rest []byte) {
 	if len(reply) == 0 || reply[0] != '|' {
 		return nil, reply
@@ -304,7 +311,7 @@
 	return reply[:at], reply[at:]
 }
 
-// Strings reads the strings and numbers among the elements of an aggregate as text, one level deep.
+// Strings returns the elements of an aggregate as text. It is meant for strings and numbers; nested aggregates are not decoded.
 func Strings(agg []byte, lim Limits) []string {
 	head, at, err := line(agg, 0, lim.Inline)
 	if err != nil || len(head) == 0 {
@@ -322,7 +329,7 @@
 	return out
 }
 
-// Text is the text of a string or number reply, without its frame.
+// Text returns the content of a reply that is a string or number, without its header and line ends.
 func Text(reply []byte, lim Limits) string {
 	head, next, err := line(reply, 0, lim.Inline)
 	if err != nil || len(head) == 0 {
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -37,7 +37,7 @@
 		{"", "", 0, "incomplete"},
 		{"*4\r\n", "", 0, "invalid multibulk length"},
 		{"*x\r\n", "", 0, "invalid multibulk length"},
-		{"*1\r\n$21\r\n", "", 0, "invalid bulk length"}, // refused before its bytes come
+		{"*1\r\n$21\r\n", "", 0, "invalid bulk length"}, // rejected before its data arrives
 		{"*1\r\n$-1\r\n", "", 0, "invalid bulk length"},
 		{"*1\r\n$999999999999999999999\r\n", "", 0, "invalid bulk length"},
 		{"*1\r\n:1\r\n", "", 0, "expected '$', got ':'"},
@@ -58,17 +58,17 @@
 	}
 }
 
-// Whatever the cut, a command is whole only when all of it has come, and need never overshoots.
+// A command is complete only when all of it has arrived, wherever it is split, and need never exceeds its length.
 func TestCommandInPieces(t *testing.T) {
 	whole := AppendCommand(nil, "SIGN.SUBMIT", "key-1", strings.Repeat("x", 300))
 	for i := range whole {
 		_, n, need, err := Command(whole[:i], nil, DefaultLimits)
 		if !errors.Is(err, ErrIncomplete) || n != 0 || need <= i || need > len(whole) {
-			t.Fatalf("cut at %d of %d: n %d, need %d, %v", i, len(whole), n, need, err)
+			t.Fatalf("split at %d of %d: n %d, need %d, %v", i, len(whole), n, need, err)
 		}
 	}
 	if args, n, _, err := Command(whole, nil, DefaultLimits); err != nil || n != len(whole) || len(args) != 3 {
-		t.Fatalf("whole: %d of %d, %v", n, len(whole), err)
+		t.Fatalf("complete command: %d of %d, %v", n, len(whole), err)
 	}
 }
 
@@ -83,7 +83,7 @@
 		}
 		for i := range s {
 			if _, err := Reply([]byte(s[:i]), lim); !errors.Is(err, ErrIncomplete) {
-				t.Errorf("%q cut at %d: %v", s, i, err)
+				t.Errorf("%q split at %d: %v", s, i, err)
 			}
 		}
 	}
@@ -108,7 +108,8 @@
 	}
 }
 
-// FuzzCommand: no input makes the parser panic, take more than it was given, or read its own output otherwise.
+// FuzzCommand checks that no input makes the parser panic or consume more than it was given, and that a parsed command is
+// parsed in the same way after it was written again.
 func FuzzCommand(f *testing.F) {
 	for _, s := range []string{"*2\r\n$4\r\nECHO\r\n$2\r\nhi\r\n", "PING\r\n", "ECHO 'a b' \"\\n\"\r\n", "*1\r\n$99999\r\n", "*-1\r\n", "\x00\n"} {
 		f.Add([]byte(s))
@@ -122,7 +123,7 @@
 		if err == nil && len(args) > 0 {
 			again, m, _, err := Command(AppendArgs(nil, args), nil, Limits{Bulk: 64, Args: 8, Inline: 64})
 			if err != nil || len(again) != len(args) || m == 0 {
-				t.Fatalf("%q: written and read again: %v, %d arguments of %d", in, err, len(again), len(args))
+				t.Fatalf("%q: written and parsed again: %v, %d arguments of %d", in, err, len(again), len(args))
 			}
 		}
 		if m, err := Reply(in, lim); err == nil {
--- a/internal/resp/write.go
+++ b/internal/resp/write.go
@@ -11,7 +11,7 @@
 	return dst
 }
 
-// AppendArgs is AppendCommand for arguments as bytes.
+// AppendArgs is like AppendCommand, for arguments as byte slices.
 func AppendArgs(dst []byte, args [][]byte) []byte {
 	dst = AppendArray(dst, len(args))
 	for _, a := range args {
@@ -21,15 +21,16 @@
 	return dst
 }
 
+// appendHead appends a header: the type and a number.
 func appendHead(dst []byte, kind byte, n int) []byte {
 	dst = strconv.AppendInt(append(dst, kind), int64(n), 10)
 	return append(dst, '\r', '\n')
 }
 
-// AppendArray appends the head of an array of n elements, which the caller appends next.
+// AppendArray appends the header of an array of n elements, which the caller appends next.
 func AppendArray(dst []byte, n int) []byte { return appendHead(dst, '*', n) }
 
-// AppendMap appends the head of a map of n pairs: in version 2 an array of twice as many elements.
+// AppendMap appends the header of a map of n pairs, which in version 2 is an array of 2*n elements.
 func AppendMap(dst []byte, version, n int) []byte {
 	if version < 3 {
 		return appendHead(dst, '*', 2*n)
@@ -37,23 +38,25 @@
 	return appendHead(dst, '%', n)
 }
 
-// AppendInt appends a whole number.
+// AppendInt appends an integer.
 func AppendInt(dst []byte, n int64) []byte {
 	return append(strconv.AppendInt(append(dst, ':'), n, 10), '\r', '\n')
 }
 
-// AppendBulk appends a string of any bytes.
+// AppendBulk appends a bulk string, which may contain any bytes.
 func AppendBulk(dst []byte, s string) []byte {
 	dst = appendHead(dst, '$', len(s))
 	return append(append(dst, s...), '\r', '\n')
 }
 
-// AppendSimple appends a simple string; line ends in it become spaces.
+// AppendSimple appends a simple string; carriage returns and newlines in it are replaced with spaces.
 func AppendSimple(dst []byte, s string) []byte { return appendLine(append(dst, '+'), s) }
 
-// AppendError appends an error, whose first word clients go by; line ends in it become spaces.
+// AppendError appends an error, whose first word is the error code for clients; carriage returns and newlines in it are
+// replaced with spaces.
 func AppendError(dst []byte, s string) []byte { return appendLine(append(dst, '-'), s) }
 
+// appendLine appends a line, with spaces in place of carriage returns and newlines.
 func appendLine(dst []byte, s string) []byte {
 	for i := range len(s) {
 		c := s[i]
@@ -65,7 +68,7 @@
 	return append(dst, '\r', '\n')
 }
 
-// AppendNull appends the null of the version.
+// AppendNull appends a null in the encoding of the version.
 func AppendNull(dst []byte, version int) []byte {
 	if version < 3 {
 		return append(dst, "$-1\r\n"...)
@@ -73,8 +76,8 @@
 	return append(dst, "_\r\n"...)
 }
 
-// AppendDowngraded appends a whole reply in terms of version 2, for a client that knows no other: maps
-// and sets become arrays, nulls, booleans, doubles and big numbers their older likenesses, attributes go.
+// AppendDowngraded appends a complete reply converted to version 2: maps and sets become arrays; nulls, booleans, doubles, big
+// numbers, verbatim strings and bulk errors become the closest type of version 2; attributes are omitted.
 func AppendDowngraded(dst, reply []byte, lim Limits) []byte {
 	_, reply = SplitAttribute(reply, lim)
 	head, at, err := line(reply, 0, lim.Inline)
@@ -94,7 +97,7 @@
 		return AppendBulk(dst, string(head[1:]))
 	case '=':
 		if text := Text(reply, lim); len(text) >= 4 {
-			return AppendBulk(dst, text[4:]) // past the format, as "txt:"
+			return AppendBulk(dst, text[4:]) // without the format, such as "txt:"
 		}
 		return append(dst, "$0\r\n\r\n"...)
 	case '!':
