--- a/internal/access/access.go
+++ b/internal/access/access.go
@@ -19,8 +19,8 @@
 	Name, Plan string
 }
 
-// Book holds the clients and commands of a configuration. It is immutable and safe for concurrent use.
-type Book struct {
+// Registry holds the clients and commands of a configuration. It is immutable and safe for concurrent use.
+type Registry struct {
 	clients  map[string]entry           // by name
 	commands map[string]*config.Command // by name in upper case
 	list     []config.Command           // in the order of the file
@@ -35,8 +35,8 @@
 }
 
 // New returns the clients and commands of a configuration.
-func New(c *config.Config) *Book {
-	b := &Book{clients: make(map[string]entry, len(c.Clients)), commands: map[string]*config.Command{}, list: c.Commands,
+func New(c *config.Config) *Registry {
+	b := &Registry{clients: make(map[string]entry, len(c.Clients)), commands: map[string]*config.Command{}, list: c.Commands,
 		throttle: c.Throttle, most: c.MostUnits()}
 	for _, k := range c.Clients {
 		b.clients[k.Name] = entry{&Client{k.Name, c.Plans[k.Plan].Name}, k.Secret}
@@ -49,8 +49,8 @@
 
 // Login returns the client with the given name if the secret is correct. Its duration reveals neither how much of the secret
 // was correct nor whether the client exists.
-func (b *Book) Login(name, secret string) (*Client, bool) {
-	e, known := b.clients[name]
+func (reg *Registry) Login(name, secret string) (*Client, bool) {
+	e, known := reg.clients[name]
 	sum := config.HashSecret(secret)
 	same := subtle.ConstantTimeCompare(sum[:], e.secret[:]) == 1
 	if !known || !same {
@@ -60,13 +60,13 @@
 }
 
 // Commands returns the commands in the order of the file.
-func (b *Book) Commands() []config.Command { return b.list }
+func (reg *Registry) Commands() []config.Command { return reg.list }
 
-// Throttle returns the class of requests for units alone.
-func (b *Book) Throttle() int { return b.throttle }
+// ThrottleClass returns the class of requests for units alone.
+func (reg *Registry) ThrottleClass() int { return reg.throttle }
 
-// MostUnits returns the maximum number of units of one request.
-func (b *Book) MostUnits() int { return b.most }
+// MaxUnits returns the maximum number of units of one request.
+func (reg *Registry) MaxUnits() int { return reg.most }
 
 // Invalid is the error of a malformed command. Its text is the one that Redis uses, without the error code in front.
 type Invalid string
@@ -74,10 +74,10 @@
 // Error returns the text for the client.
 func (e Invalid) Error() string { return string(e) }
 
-// Work returns the call that requests a command. words are the name, in upper case, and the arguments; they are copied. The
+// ParseCommand returns the call that requests a command. words are the name, in upper case, and the arguments; they are copied. The
 // bool reports whether the command exists. Errors are of type Invalid; the call is then not valid.
-func (b *Book) Work(c *Client, words [][]byte) (core.Call, bool, error) {
-	m := b.commands[string(words[0])]
+func (reg *Registry) ParseCommand(c *Client, words [][]byte) (core.Call, bool, error) {
+	m := reg.commands[string(words[0])]
 	if m == nil {
 		return core.Call{}, false, nil
 	}
@@ -87,8 +87,8 @@
 	units := m.Units
 	if m.UnitsAt > 0 {
 		n, err := strconv.Atoi(string(words[m.UnitsAt]))
-		if err != nil || n < 1 || n > b.most {
-			return core.Call{}, true, Invalid(fmt.Sprintf("word %d holds the units, want a whole number from 1 to %d", m.UnitsAt, b.most))
+		if err != nil || n < 1 || n > reg.most {
+			return core.Call{}, true, Invalid(fmt.Sprintf("word %d holds the units, want a whole number from 1 to %d", m.UnitsAt, reg.most))
 		}
 		units = n
 	}
@@ -106,14 +106,14 @@
 	return Invalid("wrong number of arguments for '" + strings.ToLower(string(name[:min(len(name), 64)])) + "' command")
 }
 
-// Limit returns a call that requests units of the client's quota alone, without a request to a server.
-func (b *Book) Limit(c *Client, class int, units float64) core.Call {
+// LimitCall returns a call that requests units of the client's quota alone, without a request to a server.
+func (reg *Registry) LimitCall(c *Client, class int, units float64) core.Call {
 	return core.Call{Client: c.Name, Plan: c.Plan, Class: class, Units: units, Limit: true}
 }
 
-// Known returns the client with the given name without checking a secret. It is for clients that are authenticated by other
+// Lookup returns the client with the given name without checking a secret. It is for clients that are authenticated by other
 // means: by a gateway that asks on their behalf, or by a certificate.
-func (b *Book) Known(name string) (*Client, bool) {
-	e, ok := b.clients[name]
+func (reg *Registry) Lookup(name string) (*Client, bool) {
+	e, ok := reg.clients[name]
 	return e.client, ok
 }
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -76,7 +76,7 @@
 	var buf []byte
 	chunk := make([]byte, 4096)
 	for {
-		args, n, _, err := resp.Command(buf, nil, resp.DefaultLimits)
+		args, n, _, err := resp.ParseCommand(buf, nil, resp.DefaultLimits)
 		if err != nil {
 			m, err := c.Read(chunk)
 			if err != nil {
--- a/internal/backend/link.go
+++ b/internal/backend/link.go
@@ -123,7 +123,7 @@
 	used, act := 0, eventloop.None
 	var results []core.Result
 	for used < len(buf) {
-		n, need, err := resp.ReplyNeed(buf[used:], p.lim)
+		n, need, err := resp.ScanReply(buf[used:], p.lim)
 		if err == resp.ErrIncomplete {
 			l.need = need
 			break
@@ -169,7 +169,7 @@
 	if act == eventloop.Close {
 		used = len(buf)
 	}
-	l.in = resp.Rest(l.in, buf, used, l.need)
+	l.in = resp.Unprocessed(l.in, buf, used, l.need)
 	if len(results) > 0 {
 		p.core.Deliver(results)
 	}
--- a/internal/backend/reply.go
+++ b/internal/backend/reply.go
@@ -52,7 +52,7 @@
 	lim := d.Limits()
 	attr, body := resp.SplitAttribute(reply, lim)
 	if attr != nil {
-		r.Load = pairsLoad(resp.Strings(attr, lim))
+		r.Load = pairsLoad(resp.ElementTexts(attr, lim))
 	}
 	if r.Status = judge(body); r.Status == policy.OK {
 		r.Payload = bytes.Clone(body)
--- a/internal/day/clients.go
+++ b/internal/day/clients.go
@@ -65,7 +65,7 @@
 		}
 		buf = append(buf, chunk[:n]...)
 		for {
-			n, err := resp.Reply(buf, resp.DefaultLimits)
+			n, err := resp.ReplyLength(buf, resp.DefaultLimits)
 			if err != nil {
 				break
 			}
@@ -367,7 +367,7 @@
 		t.End = audit.Limited
 	default:
 		t.End = audit.Served
-		n, _ := resp.Reply([]byte(reply), resp.DefaultLimits)
+		n, _ := resp.ReplyLength([]byte(reply), resp.DefaultLimits)
 		t.Wrong = n != len(reply) || !isAnswer(resp.Text([]byte(reply), resp.DefaultLimits), words, t.Key != "")
 	}
 	if err != nil {
--- a/internal/day/sabotage.go
+++ b/internal/day/sabotage.go
@@ -50,7 +50,7 @@
 	// The head of a command that comes in more than one piece is thrown away, as the front once did.
 	"input": func() instance.Hooks {
 		return instance.Hooks{Read: func(data []byte) []byte {
-			if _, _, _, err := resp.Command(data, nil, resp.DefaultLimits); errors.Is(err, resp.ErrIncomplete) {
+			if _, _, _, err := resp.ParseCommand(data, nil, resp.DefaultLimits); errors.Is(err, resp.ErrIncomplete) {
 				return nil
 			}
 			return data
--- a/internal/edge/serve_test.go
+++ b/internal/edge/serve_test.go
@@ -155,7 +155,7 @@
 	p := newPlatform(t, 1, func(c net.Conn, s standin.Served) {
 		b := standin.Good(s)
 		if len(s.Words) > 4 { // the body comes back, as long as its first byte says
-			b = append(resp.AppendBulk(resp.AppendArray(nil, 3), s.Words[4]+strings.Repeat("x", int(s.Words[4][0]-'0'))), "$-1\r\n$-1\r\n"...)
+			b = append(resp.AppendBulk(resp.AppendArrayHeader(nil, 3), s.Words[4]+strings.Repeat("x", int(s.Words[4][0]-'0'))), "$-1\r\n$-1\r\n"...)
 		}
 		n := int(cut.Load()) % len(b)
 		_, _ = c.Write(b[:n])
--- a/internal/edge/svc/svc.go
+++ b/internal/edge/svc/svc.go
@@ -28,7 +28,7 @@
 )
 
 // limits bound commands and answers alike.
-var limits = resp.Limits{Bulk: MaxValue, Args: 64, Inline: maxLine, Depth: 2, Whole: MaxValue + 2*maxLine, Arrays: true}
+var limits = resp.Limits{Bulk: MaxValue, Args: 64, Inline: maxLine, Depth: 2, Command: MaxValue + 2*maxLine, ArraysOnly: true}
 
 // Book knows the classes and plans of the settings. It does not change and is safe for concurrent use.
 type Book struct {
--- a/internal/edge/svc/svc_test.go
+++ b/internal/edge/svc/svc_test.go
@@ -105,7 +105,7 @@
 		t.Fatal(err)
 	}
 	for left, want := range map[float64]string{0.1239: "123", 3: "3000", 0.0001: "1"} {
-		args, n, _, err := resp.Command(Backends{}.AppendAttempt(nil, c.Payload, left), nil, limits)
+		args, n, _, err := resp.ParseCommand(Backends{}.AppendAttempt(nil, c.Payload, left), nil, limits)
 		if err != nil || n == 0 {
 			t.Fatal(err)
 		}
@@ -223,7 +223,7 @@
 func TestLimits(t *testing.T) {
 	lim := NewClients(book()).Limits()
 	for _, head := range []string{"*6\r\n", "*1\r\n$65537\r\n", "*1\r\n$60000000\r\n", "*5\r\n$65536\r\n", "*2\r\n$-1\r\n", "GET\r\n"} {
-		_, _, _, err := resp.Command([]byte(head), nil, lim)
+		_, _, _, err := resp.ParseCommand([]byte(head), nil, lim)
 		var broken resp.ProtocolError
 		if whole := head == "*5\r\n$65536\r\n"; errors.As(err, &broken) == whole {
 			t.Errorf("%q: %v", head, err)
--- a/internal/front/command.go
+++ b/internal/front/command.go
@@ -31,12 +31,12 @@
 	if len(args) == 5 {
 		quantity = 1
 	}
-	if most := k.loop.s.opt.Book.MostUnits(); quantity > int64(most) {
+	if most := k.loop.s.opt.Book.MaxUnits(); quantity > int64(most) {
 		k.fail("ERR quantity is above " + strconv.Itoa(most) + ", the most of one request")
 		return
 	}
 	book := k.loop.s.opt.Book
-	k.ask(book.Limit(k.client, book.Throttle(), float64(quantity)))
+	k.ask(book.LimitCall(k.client, book.ThrottleClass(), float64(quantity)))
 }
 
 // noAuth is the reply to commands that need a login.
@@ -69,7 +69,7 @@
 		k.throttle(args)
 		return
 	}
-	if call, known, err := k.loop.s.opt.Book.Work(k.client, args); err != nil {
+	if call, known, err := k.loop.s.opt.Book.ParseCommand(k.client, args); err != nil {
 		k.fail("ERR " + err.Error())
 		return
 	} else if known {
@@ -222,14 +222,14 @@
 	}
 	k.version, k.name = version, name
 	k.say(func(b []byte) []byte {
-		b = resp.AppendMap(b, version, 7)
+		b = resp.AppendMapHeader(b, version, 7)
 		b = resp.AppendBulk(resp.AppendBulk(b, "server"), "cometpond")
 		b = resp.AppendBulk(resp.AppendBulk(b, "version"), "1.0.0")
 		b = resp.AppendInt(resp.AppendBulk(b, "proto"), int64(version))
 		b = resp.AppendInt(resp.AppendBulk(b, "id"), int64(k.id))
 		b = resp.AppendBulk(resp.AppendBulk(b, "mode"), "standalone")
 		b = resp.AppendBulk(resp.AppendBulk(b, "role"), "master")
-		return resp.AppendArray(resp.AppendBulk(b, "modules"), 0)
+		return resp.AppendArrayHeader(resp.AppendBulk(b, "modules"), 0)
 	})
 }
 
@@ -290,7 +290,7 @@
 	switch {
 	case len(args) == 1:
 		k.say(func(b []byte) []byte {
-			b = resp.AppendArray(b, len(own)+len(list))
+			b = resp.AppendArrayHeader(b, len(own)+len(list))
 			for _, c := range own {
 				b = appendCommandInfo(b, c.name, c.arity)
 			}
@@ -302,7 +302,7 @@
 	case is(args[1], "COUNT") && len(args) == 2:
 		k.say(func(b []byte) []byte { return resp.AppendInt(b, int64(len(own)+len(list))) })
 	case is(args[1], "DOCS"):
-		k.say(func(b []byte) []byte { return resp.AppendMap(b, k.version, 0) })
+		k.say(func(b []byte) []byte { return resp.AppendMapHeader(b, k.version, 0) })
 	default:
 		k.fail("ERR unknown subcommand '" + clip(args[1]) + "'. Try COMMAND, COMMAND COUNT or COMMAND DOCS.")
 	}
@@ -310,8 +310,8 @@
 
 // appendCommandInfo appends the entry of one command in the reply to COMMAND.
 func appendCommandInfo(b []byte, name string, arity int) []byte {
-	b = resp.AppendBulk(resp.AppendArray(b, 6), name)
-	b = resp.AppendArray(resp.AppendInt(b, int64(arity)), 0)
+	b = resp.AppendBulk(resp.AppendArrayHeader(b, 6), name)
+	b = resp.AppendArrayHeader(resp.AppendInt(b, int64(arity)), 0)
 	for range 3 { // first key, last key and step: there are none
 		b = resp.AppendInt(b, 0)
 	}
--- a/internal/front/commands_test.go
+++ b/internal/front/commands_test.go
@@ -17,7 +17,7 @@
 type echo struct{}
 
 func (echo) Limits() resp.Limits {
-	return resp.Limits{Bulk: 100, Args: 3, Inline: 32, Depth: 1, Whole: 200, Arrays: true}
+	return resp.Limits{Bulk: 100, Args: 3, Inline: 32, Depth: 1, Command: 200, ArraysOnly: true}
 }
 
 func (echo) Command(c Conn, args [][]byte) {
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -131,7 +131,7 @@
 			k.paused = true
 			break
 		}
-		args, n, need, err := resp.Command(src[used:], k.args[:0], k.limits())
+		args, n, need, err := resp.ParseCommand(src[used:], k.args[:0], k.limits())
 		k.args = args
 		if errors.Is(err, resp.ErrIncomplete) {
 			k.need = need
@@ -165,7 +165,7 @@
 	if k.quit || broken != nil {
 		used = len(src) // input after the last command is ignored
 	}
-	k.in = resp.Rest(k.in, src, used, min(k.need, chunkMost))
+	k.in = resp.Unprocessed(k.in, src, used, min(k.need, chunkMost))
 	k.submit()
 	if broken != nil {
 		s.cut.Add(1)
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -103,7 +103,7 @@
 	c.Front.Answered([]*core.Call{c})
 }
 
-func book(t testing.TB) *access.Book {
+func book(t testing.TB) *access.Registry {
 	t.Helper()
 	raw, err := os.ReadFile("../../examples/one.sexp")
 	if err != nil {
--- a/internal/front/input.go
+++ b/internal/front/input.go
@@ -86,7 +86,7 @@
 	return k.loop.s.lim
 }
 
-var strangerLimits = resp.Limits{Bulk: strangerMost, Args: strangerArgs, Inline: strangerMost, Depth: 1, Whole: strangerMost}
+var strangerLimits = resp.Limits{Bulk: strangerMost, Args: strangerArgs, Inline: strangerMost, Depth: 1, Command: strangerMost}
 
 // hold requests memory for the input that is left, and pauses reading from the connection if it is not granted.
 func (k *conn) hold() eventloop.Action {
--- a/internal/front/output.go
+++ b/internal/front/output.go
@@ -178,7 +178,7 @@
 		limited, retry = 1, max(1, int64(math.Ceil(a.Quota.RetryS)))
 	}
 	whole := func(x float64) int64 { return int64(min(math.Floor(x+1e-9), math.MaxInt32)) }
-	b = resp.AppendArray(b, 5)
+	b = resp.AppendArrayHeader(b, 5)
 	b = resp.AppendInt(b, limited)
 	b = resp.AppendInt(b, whole(a.Quota.Burst))
 	b = resp.AppendInt(b, whole(a.Quota.Room))
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -57,7 +57,7 @@
 	// Commands handles the commands of clients that do not log in; each command is then an array of at least one
 	// argument. With nil the front serves this gateway's own commands, to the clients of Book.
 	Commands Commands
-	Book     *access.Book
+	Book     *access.Registry
 	// Leavers makes the end of a client's connection, or of its sending side, take effect at once, even while reading is
 	// paused: its open requests are cancelled and input received before the end is discarded. Otherwise that input is
 	// processed first.
@@ -116,11 +116,11 @@
 	s := &Server{opt: opt, core: c, stop: make(chan struct{}), loops: map[*eventloop.Loop]*loop{}, asking: map[uint64]*conn{}}
 	s.boundByDescriptors()
 	s.lim = resp.DefaultLimits
-	s.lim.Bulk, s.lim.Whole = opt.Bounds.Bulk, opt.Bounds.Bulk+aheadMost
+	s.lim.Bulk, s.lim.Command = opt.Bounds.Bulk, opt.Bounds.Bulk+aheadMost
 	if opt.Commands != nil {
 		s.lim = opt.Commands.Limits()
 	}
-	s.pool = intake.New(intake.Limits{Free: chunkMost, Total: max(opt.Bounds.Input, opt.Bounds.Bulk), Reserve: s.lim.Whole,
+	s.pool = intake.New(intake.Limits{Free: chunkMost, Total: max(opt.Bounds.Input, opt.Bounds.Bulk), Reserve: s.lim.Command,
 		Strangers: max(opt.Bounds.Input/4, strangerMost), PassS: passAfter})
 	var err error
 	if s.group, err = eventloop.New(s, eventloop.Options{Loops: opt.Loops, ReadBuffer: chunkMost, EndsFirst: opt.Leavers, Log: opt.Log}); err != nil {
--- a/internal/resp/parse.go
+++ b/internal/resp/parse.go
@@ -12,12 +12,12 @@
 // Limits limits the size of commands and replies that a parser accepts. Sizes are checked when they are announced, before
 // the data itself has arrived.
 type Limits struct {
-	Bulk   int  // bytes of one string, at least 1
-	Args   int  // arguments of one command, or elements of a reply over all levels, at least 1
-	Inline int  // bytes of a line: an inline command, a header or a simple string
-	Depth  int  // levels of nested arrays, maps and sets in a reply
-	Whole  int  // bytes of one command, 0: no limit
-	Arrays bool // commands must be arrays; inline commands are an error
+	Bulk       int  // bytes of one string, at least 1
+	Args       int  // arguments of one command, or elements of a reply over all levels, at least 1
+	Inline     int  // bytes of a line: an inline command, a header or a simple string
+	Depth      int  // levels of nested arrays, maps and sets in a reply
+	Command    int  // bytes of one command, 0: no limit
+	ArraysOnly bool // commands must be arrays; inline commands are an error
 }
 
 // DefaultLimits suit commands and replies of some hundred kilobytes.
@@ -74,15 +74,15 @@
 	return n, len(b) > 0
 }
 
-// Command parses the command at the start of buf, which is an array of bulk strings or an inline command. The arguments are
+// ParseCommand parses the command at the start of buf, which is an array of bulk strings or an inline command. The arguments are
 // appended to args; they point into buf, but for quoted arguments of inline commands. n is the length of the command in bytes;
 // with no arguments and n above 0 the command was empty and is to be skipped. Errors are ErrIncomplete, with need as the minimum
 // length of buf for which parsing can make progress, or a ProtocolError.
-func Command(buf []byte, args [][]byte, lim Limits) (out [][]byte, n, need int, err error) {
+func ParseCommand(buf []byte, args [][]byte, lim Limits) (out [][]byte, n, need int, err error) {
 	if len(buf) == 0 {
 		return args, 0, 1, ErrIncomplete
 	}
-	if lim.Arrays && buf[0] != '*' {
+	if lim.ArraysOnly && buf[0] != '*' {
 		return args, 0, 0, ProtocolError("expected '*', got '" + printable(buf[0]) + "'")
 	}
 	head, at, err := line(buf, 0, lim.Inline)
@@ -112,7 +112,7 @@
 		if !ok || size < 0 || size > lim.Bulk {
 			return args, 0, 0, ProtocolError("invalid bulk length")
 		}
-		if at = next + size + 2; lim.Whole > 0 && at > lim.Whole {
+		if at = next + size + 2; lim.Command > 0 && at > lim.Command {
 			return args, 0, 0, ProtocolError("too big request")
 		}
 		if at > len(buf) {
@@ -187,16 +187,16 @@
 	return c
 }
 
-// Reply returns the length of the reply at the start of buf in bytes. Attributes that precede a reply are part of it. Errors
+// ReplyLength returns the length of the reply at the start of buf in bytes. Attributes that precede a reply are part of it. Errors
 // are ErrIncomplete or a ProtocolError.
-func Reply(buf []byte, lim Limits) (int, error) {
-	n, _, err := ReplyNeed(buf, lim)
+func ReplyLength(buf []byte, lim Limits) (int, error) {
+	n, _, err := ScanReply(buf, lim)
 	return n, err
 }
 
-// ReplyNeed is like Reply, and with ErrIncomplete it also returns the minimum length of buf for which parsing can make
+// ScanReply is like Reply, and with ErrIncomplete it also returns the minimum length of buf for which parsing can make
 // progress.
-func ReplyNeed(buf []byte, lim Limits) (n, need int, err error) {
+func ScanReply(buf []byte, lim Limits) (n, need int, err error) {
 	at, elements := 0, lim.Args
 	var open [32]int // elements left on each level of nesting
 	depth := 0
@@ -271,11 +271,11 @@
 	}
 }
 
-// Rest returns the unprocessed input to keep until more arrives, after the first used bytes of src were processed. held is the
+// Unprocessed returns the unprocessed input to keep until more arrives, after the first used bytes of src were processed. held is the
 // input kept so far. If it is not empty, src must be the same slice; otherwise src is only valid during the call, and the rest is
 // copied to a new slice with a capacity of at least room bytes. If nothing is left the result is nil, so that an idle connection
 // occupies no memory.
-func Rest(held, src []byte, used, room int) []byte {
+func Unprocessed(held, src []byte, used, room int) []byte {
 	rest := src[used:]
 	switch {
 	case len(rest) == 0:
@@ -302,7 +302,7 @@
 		return nil, reply
 	}
 	for range 2 * pairs {
-		n, err := Reply(reply[at:], lim)
+		n, err := ReplyLength(reply[at:], lim)
 		if err != nil {
 			return nil, reply
 		}
@@ -311,15 +311,15 @@
 	return reply[:at], reply[at:]
 }
 
-// Strings returns the elements of an aggregate as text. It is meant for strings and numbers; nested aggregates are not decoded.
-func Strings(agg []byte, lim Limits) []string {
+// ElementTexts returns the elements of an aggregate as text. It is meant for strings and numbers; nested aggregates are not decoded.
+func ElementTexts(agg []byte, lim Limits) []string {
 	head, at, err := line(agg, 0, lim.Inline)
 	if err != nil || len(head) == 0 {
 		return nil
 	}
 	var out []string
 	for at < len(agg) {
-		n, err := Reply(agg[at:], lim)
+		n, err := ReplyLength(agg[at:], lim)
 		if err != nil {
 			return out
 		}
--- a/internal/rpc/limits.go
+++ b/internal/rpc/limits.go
@@ -84,11 +84,11 @@
 		if !ok {
 			continue
 		}
-		most := uint64(s.opt.Book.MostUnits() / rule.Units)
+		most := uint64(s.opt.Book.MaxUnits() / rule.Units)
 		if hits > most {
 			return nil, fmt.Errorf("hits_addend %d, want %d at most for this descriptor", hits, most)
 		}
-		c := s.opt.Book.Limit(client, rule.Class, float64(hits)*float64(rule.Units))
+		c := s.opt.Book.LimitCall(client, rule.Class, float64(hits)*float64(rule.Units))
 		return &c, nil
 	}
 	return nil, nil
@@ -104,7 +104,7 @@
 	if !ok {
 		return nil, false
 	}
-	return s.opt.Book.Known(name)
+	return s.opt.Book.Lookup(name)
 }
 
 // handBack returns what calls were admitted for.
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -46,7 +46,7 @@
 // Options are the settings of a Server.
 type Options struct {
 	config.GRPC
-	Book *access.Book
+	Book *access.Registry
 	Log  zerolog.Logger
 }
 
@@ -297,7 +297,7 @@
 		return core.Call{}, errors.New("no words, want a command of the settings with its further words")
 	}
 	words = append([][]byte{bytes.ToUpper(words[0])}, words[1:]...)
-	c, known, err := s.opt.Book.Work(client, words)
+	c, known, err := s.opt.Book.ParseCommand(client, words)
 	if err == nil && !known {
 		err = fmt.Errorf("unknown command %q", words[0][:min(len(words[0]), 64)])
 	}
--- a/internal/standin/box.go
+++ b/internal/standin/box.go
@@ -159,7 +159,7 @@
 	chunk := make([]byte, 16<<10)
 	name, version := "", 2
 	for {
-		args, n, _, err := resp.Command(buf, nil, resp.DefaultLimits)
+		args, n, _, err := resp.ParseCommand(buf, nil, resp.DefaultLimits)
 		if errors.Is(err, resp.ErrIncomplete) {
 			m, err := c.Read(chunk)
 			if err != nil {
@@ -189,7 +189,7 @@
 			if words[1] == "3" {
 				version = 3
 			}
-			r.text = resp.AppendMap(nil, version, 0)
+			r.text = resp.AppendMapHeader(nil, version, 0)
 		case words[0] == "PING":
 			r.text = []byte("+PONG\r\n")
 		case words[0] == "INFO":
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -174,7 +174,7 @@
 
 // Good is the answer that holds the request's id as its value.
 func Good(s Served) []byte {
-	out := resp.AppendBulk(resp.AppendArray(nil, 3), "value of "+s.Words[2])
+	out := resp.AppendBulk(resp.AppendArrayHeader(nil, 3), "value of "+s.Words[2])
 	return append(out, "$-1\r\n$-1\r\n"...)
 }
 
@@ -229,7 +229,7 @@
 	var in []byte
 	buf := make([]byte, 16<<10)
 	for {
-		args, used, _, err := resp.Command(in, nil, resp.DefaultLimits)
+		args, used, _, err := resp.ParseCommand(in, nil, resp.DefaultLimits)
 		if err == nil {
 			s := Served{Conn: n}
 			for _, a := range args {
