--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -197,8 +197,8 @@
 		log.Warn().Str("discovery", c.Discovery).Msg("no list of backends yet: all is refused until one comes")
 	}
 	commands := svc.NewClients(svc.NewBook(c.Terms.Settings))
-	e.front, err = front.Start(e.loop, front.Options{Listen: c.Listen, Loops: 1, Leavers: true, Bounds: b.Front, Crowd: b.Crowd,
-		Commands: commands, Age: e.stalls.Age, Log: log.With().Str("part", "front").Logger()})
+	e.front, err = front.Start(e.loop, front.Options{Listen: c.Listen, Loops: 1, CloseOnClientEOF: true, Limits: b.Front, IdleLimits: b.Crowd,
+		Handler: commands, InputAge: e.stalls.Age, Log: log.With().Str("part", "front").Logger()})
 	if err != nil {
 		return nil, err
 	}
@@ -290,9 +290,9 @@
 	defer tick.Stop()
 	for range tick.C {
 		s := e.loop.Status()
-		next := l.Next(e.clock.Now(), e.front.Open(), s.Held+s.Waiting)
+		next := l.Next(e.clock.Now(), e.front.OpenConnections(), s.Held+s.Waiting)
 		if next == plan.Retire {
-			e.front.Retire()
+			e.front.CloseWhenIdle()
 		} else if next == plan.Exit {
 			break
 		}
--- a/internal/edge/serve_test.go
+++ b/internal/edge/serve_test.go
@@ -441,7 +441,7 @@
 	}
 	until(t, "all is let go", func() bool {
 		s := e.loop.Status()
-		return e.front.Open() == 0 && s.Held == 0 && len(e.pool.Held()) == 2
+		return e.front.OpenConnections() == 0 && s.Held == 0 && len(e.pool.Held()) == 2
 	})
 	if c := e.loop.Status(); c.Served != 1600 {
 		t.Errorf("%d of 1600 served: %+v", c.Served, c)
--- a/internal/edge/svc/svc_test.go
+++ b/internal/edge/svc/svc_test.go
@@ -186,7 +186,7 @@
 		{mute, core.Answer{Kind: core.Refused, RetryS: 0.25}, "-BUSY\r\n"},
 		{book(), core.Answer{Kind: core.Failed, Why: "no\r\nluck"}, "-ERR no  luck\r\n"},
 	} {
-		if got := NewClients(c.book).Answer(nil, &core.Call{Answer: c.a}); string(got) != c.want {
+		if got := NewClients(c.book).AppendReply(nil, &core.Call{Answer: c.a}); string(got) != c.want {
 			t.Errorf("%+v: %q, want %q", c.a, got, c.want)
 		}
 	}
@@ -198,8 +198,8 @@
 	text  string
 }
 
-func (s *said) Ask(c core.Call)   { s.asked = append(s.asked, c) }
-func (s *said) Say(answer []byte) { s.text += string(answer) }
+func (s *said) Submit(c core.Call)  { s.asked = append(s.asked, c) }
+func (s *said) Reply(answer []byte) { s.text += string(answer) }
 
 func TestCommand(t *testing.T) {
 	for _, c := range []struct {
@@ -212,7 +212,7 @@
 		{[]string{"HELLO", "3"}, 0, "-ERR "}, {[]string{"PING", "x"}, 0, "-ERR "}, {[]string{"FLUSHALL"}, 0, "-ERR "}, {[]string{""}, 0, "-ERR "},
 	} {
 		s := &said{}
-		NewClients(book()).Command(s, words(c.words...))
+		NewClients(book()).HandleCommand(s, words(c.words...))
 		if len(s.asked) != c.asks || !strings.HasPrefix(s.text, c.text) || c.asks > 0 && s.text != "" {
 			t.Errorf("%v: asked %d, said %q", c.words, len(s.asked), s.text)
 		}
--- a/internal/edge/trace.go
+++ b/internal/edge/trace.go
@@ -99,7 +99,7 @@
 		Uint64("too_late", s.TooLate).Uint64("overfull", s.Overfull).Uint64("overdue", s.Overdue).Uint64("late", s.Late).
 		Uint64("attempts", s.Attempts).Uint64("timeouts", s.Timeouts).Uint64("stalls", e.stalls.Seen()).
 		Int("held", s.Held).Int("waiting", s.Waiting).Uint64("dials", p.Dials).Uint64("dials_failed", p.DialsFailed).
-		Uint64("broken", p.Broken).Int64("box_connections", p.Open).Int("client_connections", e.front.Open()).
-		Uint64("opened", c.Opened).Uint64("cut", c.Cut).Uint64("evicted", c.Evicted).Uint64("parked", c.Parked).
+		Uint64("broken", p.Broken).Int64("box_connections", p.Open).Int("client_connections", e.front.OpenConnections()).
+		Uint64("opened", c.Opened).Uint64("cut", c.Terminated).Uint64("evicted", c.Evicted).Uint64("parked", c.ReadsPaused).
 		Uint64("ended_with_open_requests", c.Abandoned).Msg("totals")
 }
--- a/internal/front/bounds_test.go
+++ b/internal/front/bounds_test.go
@@ -34,7 +34,7 @@
 	if err := <-sent; err != nil {
 		t.Fatal(err)
 	}
-	if c := srv.Counts(); c.Parked == 0 || c.Cut != 0 || c.Input.Held != 0 {
+	if c := srv.Counts(); c.ReadsPaused == 0 || c.Terminated != 0 || c.Input.Held != 0 {
 		t.Errorf("%+v: want reading paused and no connection cut", c)
 	}
 }
@@ -46,7 +46,7 @@
 	go func() {
 		_, _ = io.WriteString(k, strings.Repeat("JOB.STATUS hold\r\n", 30)+strings.Repeat("ECHO "+strings.Repeat("y", 1000)+"\r\n", 200))
 	}()
-	wait(t, func() bool { return srv.Counts().Parked == 1 })
+	wait(t, func() bool { return srv.Counts().ReadsPaused == 1 })
 	for range 30 {
 		give(<-s.held, core.Answer{Payload: []byte("+ok\r\n")})
 	}
@@ -61,10 +61,10 @@
 		k := connect(t, addr, true)
 		k.send(strings.Repeat("JOB.STATUS hold\r\n", 10) + strings.Repeat("ECHO "+strings.Repeat("y", 1000)+"\r\n", 50))
 	}
-	wait(t, func() bool { return srv.Counts().Parked == 2 })
+	wait(t, func() bool { return srv.Counts().ReadsPaused == 2 })
 	k := connect(t, addr, true)
 	k.send(strings.Repeat("JOB.STATUS hold\r\n", 10) + strings.Repeat("ECHO "+strings.Repeat("y", 1000)+"\r\n", 50))
-	wait(t, func() bool { return srv.Counts().Parked == 3 })
+	wait(t, func() bool { return srv.Counts().ReadsPaused == 3 })
 	k.Close()
 	for range 30 {
 		c := <-s.held
@@ -91,8 +91,8 @@
 		time.Sleep(time.Millisecond)
 		k.expect("", want)
 	}
-	if c := srv.Counts(); c.Cut != 0 {
-		t.Errorf("%d cut", c.Cut)
+	if c := srv.Counts(); c.Terminated != 0 {
+		t.Errorf("%d cut", c.Terminated)
 	}
 }
 
@@ -109,12 +109,12 @@
 		k.send(in)
 		k.ended(want)
 	}
-	cut := srv.Counts().Cut
+	cut := srv.Counts().Terminated
 	half := "*2\r\n$4\r\nECHO\r\n$16000\r\n" + strings.Repeat("x", 8000)
 	for range 60 { // 480 kB, where clients before login may hold 256 kB in all
 		connect(t, addr, false).send(half)
 	}
-	wait(t, func() bool { return srv.Counts().Cut > cut })
+	wait(t, func() bool { return srv.Counts().Terminated > cut })
 	if c := srv.Counts(); c.Input.Strangers > 256<<10 {
 		t.Errorf("%+v", c.Input)
 	}
@@ -135,7 +135,7 @@
 	}
 	wait(t, func() bool { c := srv.Counts().Input; return c.Waiting >= conns-input/bulk })
 	c := srv.Counts()
-	if c.Input.Held > input || c.Cut != 0 {
+	if c.Input.Held > input || c.Terminated != 0 {
 		t.Errorf("%+v", c)
 	}
 	if used, most := heap()-before, input+conns*(chunkMost+32<<10); used > most { // includes the test's own clients
@@ -173,7 +173,7 @@
 		b.ReportMetric(float64(heap()-before)/1e6, "heap-MB")
 		b.ReportMetric(float64(c.Input.Held)/1e6, "granted-MB")
 		b.ReportMetric(float64(c.Input.Waiting), "waiting")
-		b.ReportMetric(float64(c.Cut), "cut")
+		b.ReportMetric(float64(c.Terminated), "cut")
 	}
 }
 
@@ -205,7 +205,7 @@
 		k.expect("", fmt.Sprintf("$%d\r\n%s\r\n", bulk, arg))
 	}
 	wait(t, func() bool { c := srv.Counts().Input; return c.Held == 0 && c.Waiting == 0 }) // memory is released right after the reply
-	if c := srv.Counts(); c.Cut != 0 {
+	if c := srv.Counts(); c.Terminated != 0 {
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/front/closing.go
+++ b/internal/front/closing.go
@@ -21,17 +21,17 @@
 
 // part closes all connections gracefully: at first those without open requests, and after partLeast those with an incomplete
 // command, too. It returns when all clients have closed, after partMost, or when ctx is done.
-func (s *Server) part(ctx context.Context) {
-	s.Retire()
+func (srv *Server) part(ctx context.Context) {
+	srv.CloseWhenIdle()
 	start := time.Now()
-	for s.open.Load() > 0 && time.Since(start) < partMost {
+	for srv.open.Load() > 0 && time.Since(start) < partMost {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(5 * time.Millisecond):
 		}
 		last := time.Since(start) > partLeast
-		s.each(func(l *loop) { l.part(last) })
+		srv.each(func(l *loop) { l.part(last) })
 	}
 }
 
@@ -70,13 +70,13 @@
 // sweep closes connections whose command has been incomplete for too long, that have not logged in for too long, that have
 // been idle for too long, or that have lingered for too long.
 func (l *loop) sweep() {
-	now, most := time.Now(), l.s.opt.Bounds.Partial
+	now, most := time.Now(), l.s.opt.Limits.Partial
 	for len(l.lingering) > 0 && l.lingering[0].lingerTo < seconds() {
 		l.hurry()
 	}
-	open, leaves := int(l.s.open.Load()), l.s.opt.Crowd.Leaves
+	open, leaves := int(l.s.open.Load()), l.s.opt.IdleLimits.Leaves
 	if l.s.retiring.Load() {
-		leaves = l.s.opt.Crowd.Retires
+		leaves = l.s.opt.IdleLimits.Retires
 	}
 	for k := range l.conns {
 		slow := !k.partial.IsZero() && now.Sub(k.partial) > most && !k.waits || k.client == nil && now.Sub(k.since) > most
@@ -103,7 +103,7 @@
 // evict closes an idle connection to make room for a new one, and reports whether there was one.
 func (l *loop) evict() bool {
 	var out *conn
-	now, crowd := seconds(), l.s.opt.Crowd
+	now, crowd := seconds(), l.s.opt.IdleLimits
 	for k := range l.conns {
 		k.guest.Begun = len(k.in) > 0
 		if k.settled() && (!k.guest.Begun || k.guest.Asked == 0) && crowd.Evictable(k.guest, now) &&
@@ -152,7 +152,7 @@
 	l.s.lingering.Add(1)
 	l.lingering = append(l.lingering, k)
 	// During a shutdown there are no new connections that would need the descriptors.
-	for most := max(1, l.s.opt.Bounds.Connections/lingerShare); len(l.lingering) > most && !l.s.retiring.Load(); {
+	for most := max(1, l.s.opt.Limits.Connections/lingerShare); len(l.lingering) > most && !l.s.retiring.Load(); {
 		l.hurry()
 	}
 	return eventloop.None
--- a/internal/front/command.go
+++ b/internal/front/command.go
@@ -31,11 +31,11 @@
 	if len(args) == 5 {
 		quantity = 1
 	}
-	if most := k.loop.s.opt.Book.MaxUnits(); quantity > int64(most) {
+	if most := k.loop.s.opt.Registry.MaxUnits(); quantity > int64(most) {
 		k.fail("ERR quantity is above " + strconv.Itoa(most) + ", the most of one request")
 		return
 	}
-	book := k.loop.s.opt.Book
+	book := k.loop.s.opt.Registry
 	k.ask(book.LimitCall(k.client, book.ThrottleClass(), float64(quantity)))
 }
 
@@ -69,7 +69,7 @@
 		k.throttle(args)
 		return
 	}
-	if call, known, err := k.loop.s.opt.Book.ParseCommand(k.client, args); err != nil {
+	if call, known, err := k.loop.s.opt.Registry.ParseCommand(k.client, args); err != nil {
 		k.fail("ERR " + err.Error())
 		return
 	} else if known {
@@ -157,7 +157,7 @@
 
 // login checks a name and a secret. If they are wrong it replies with an error and returns false.
 func (k *conn) login(name, secret []byte) bool {
-	c, ok := k.loop.s.opt.Book.Login(string(name), string(secret))
+	c, ok := k.loop.s.opt.Registry.Login(string(name), string(secret))
 	if !ok {
 		k.loop.s.denied.Add(1)
 		k.fail("WRONGPASS invalid username-password pair or user is disabled.")
@@ -286,7 +286,7 @@
 
 // commands handles COMMAND.
 func (k *conn) commands(args [][]byte) {
-	list := k.loop.s.opt.Book.Commands()
+	list := k.loop.s.opt.Registry.Commands()
 	switch {
 	case len(args) == 1:
 		k.say(func(b []byte) []byte {
--- a/internal/front/commands_test.go
+++ b/internal/front/commands_test.go
@@ -20,20 +20,20 @@
 	return resp.Limits{Bulk: 100, Args: 3, Inline: 32, Depth: 1, Command: 200, ArraysOnly: true}
 }
 
-func (echo) Command(c Conn, args [][]byte) {
+func (echo) HandleCommand(c Conn, args [][]byte) {
 	if string(args[0]) == "SAY" {
-		c.Say([]byte("+said\r\n"))
+		c.Reply([]byte("+said\r\n"))
 		return
 	}
-	c.Ask(core.Call{Key: string(args[0]), Payload: append([]byte(nil), args[0]...)})
+	c.Submit(core.Call{Key: string(args[0]), Payload: append([]byte(nil), args[0]...)})
 }
 
-func (echo) Answer(dst []byte, c *core.Call) []byte { return append(dst, c.Answer.Payload...) }
+func (echo) AppendReply(dst []byte, c *core.Call) []byte { return append(dst, c.Answer.Payload...) }
 
 // openWorld returns changes of the settings for clients without a login, one event loop and at most so many connections.
 func openWorld(most int) (func(*config.Front), func(*Options)) {
 	return func(f *config.Front) { f.Connections, f.Partial = most, time.Minute },
-		func(o *Options) { o.Commands, o.Loops, o.Crowd = echo{}, 1, crowd.Standard(most, 60) }
+		func(o *Options) { o.Handler, o.Loops, o.IdleLimits = echo{}, 1, crowd.Standard(most, 60) }
 }
 
 // visitor connects a client that does not log in.
@@ -63,7 +63,7 @@
 
 // With a command handler no login is needed, and input that is not a command gets one error and the end of the connection.
 func TestCommandsOfAnotherWorld(t *testing.T) {
-	_, _, addr := startWith(t, nil, func(o *Options) { o.Commands = echo{} })
+	_, _, addr := startWith(t, nil, func(o *Options) { o.Handler = echo{} })
 	k := visitor(t, addr)
 	k.says(say, "+said\r\n")
 	k.says("*1\r\n$2\r\nGO\r\n", "+did GO\r\n")
@@ -108,14 +108,14 @@
 
 // Retire closes idle connections at once, and the others after their replies.
 func TestRetire(t *testing.T) {
-	srv, s, addr := startWith(t, func(f *config.Front) { f.Partial = 100 * time.Millisecond }, func(o *Options) { o.Commands = echo{} })
+	srv, s, addr := startWith(t, func(f *config.Front) { f.Partial = 100 * time.Millisecond }, func(o *Options) { o.Handler = echo{} })
 	idle, busy := visitor(t, addr), visitor(t, addr)
 	idle.says(say, "+said\r\n")
 	if _, err := busy.Write([]byte("*1\r\n$4\r\nhold\r\n")); err != nil {
 		t.Fatal(err)
 	}
 	call := <-s.held
-	srv.Retire()
+	srv.CloseWhenIdle()
 	if _, err := idle.r.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("the idle connection was not closed: %v", err)
 	}
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -70,10 +70,10 @@
 // looked records the possible age of the input that arrives now. A command is as old as its first byte: one that began to
 // arrive before a pause of the process, or that lay in the socket during it, is old however late its end arrives.
 func (k *conn) looked(parked bool) {
-	if k.loop.s.opt.Age == nil {
+	if k.loop.s.opt.InputAge == nil {
 		return
 	}
-	age, now := k.loop.s.opt.Age(k.readAt, parked)
+	age, now := k.loop.s.opt.InputAge(k.readAt, parked)
 	k.readAt, k.oldNext = now, 0
 	if age > 0 {
 		k.oldNext = now - age
@@ -127,7 +127,7 @@
 	var broken error
 	k.need, k.paused = 0, false
 	for used < len(src) && !k.quit {
-		if k.waiting() >= s.opt.Bounds.Pipeline || len(l.buf) >= outputBatch {
+		if k.waiting() >= s.opt.Limits.Pipeline || len(l.buf) >= outputBatch {
 			k.paused = true
 			break
 		}
@@ -144,12 +144,12 @@
 		if len(args) > 0 {
 			s.commands.Add(1)
 			k.guest.Asked++
-			if s.opt.Commands != nil {
-				s.opt.Commands.Command(k, args)
+			if s.opt.Handler != nil {
+				s.opt.Handler.HandleCommand(k, args)
 			} else {
 				k.command(args)
 			}
-		} else if s.opt.Commands != nil {
+		} else if s.opt.Handler != nil {
 			broken = resp.ProtocolError("empty command")
 			break
 		}
@@ -181,7 +181,7 @@
 	}
 	if k.congested && len(k.in) > 0 {
 		k.paused = true
-	} else if k.paused && k.waiting() < s.opt.Bounds.Pipeline { // was paused only because the output batch was full
+	} else if k.paused && k.waiting() < s.opt.Limits.Pipeline { // was paused only because the output batch was full
 		return k.again()
 	}
 	return k.hold()
@@ -196,7 +196,7 @@
 		for k.ready < len(k.queue) && k.queue[k.ready].done {
 			k.ready++
 		}
-		if !k.waits && !k.congested && (!k.paused || len(k.queue)-k.ready <= k.loop.s.opt.Bounds.Pipeline/2) {
+		if !k.waits && !k.congested && (!k.paused || len(k.queue)-k.ready <= k.loop.s.opt.Limits.Pipeline/2) {
 			return k.unpark()
 		}
 		return eventloop.None
@@ -204,7 +204,7 @@
 	if act := k.pump(); act != eventloop.None || k.congested {
 		return act
 	}
-	if k.paused && k.waiting() <= k.loop.s.opt.Bounds.Pipeline/2 {
+	if k.paused && k.waiting() <= k.loop.s.opt.Limits.Pipeline/2 {
 		return k.again()
 	}
 	return eventloop.None
@@ -225,11 +225,11 @@
 	l.calls = l.calls[:0]
 }
 
-// Ask submits a call to the core. It implements Conn.
-func (k *conn) Ask(c core.Call) { k.ask(c) }
+// Submit submits a call to the core. It implements Conn.
+func (k *conn) Submit(c core.Call) { k.ask(c) }
 
-// Say replies to a command without the core. It implements Conn.
-func (k *conn) Say(answer []byte) { k.say(func(b []byte) []byte { return append(b, answer...) }) }
+// Reply replies to a command without the core. It implements Conn.
+func (k *conn) Reply(answer []byte) { k.say(func(b []byte) []byte { return append(b, answer...) }) }
 
 // ask queues a call for submission to the core and reserves its place in the order of replies.
 func (k *conn) ask(c core.Call) {
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -128,7 +128,7 @@
 	if change != nil {
 		change(&b)
 	}
-	o := Options{Listen: "127.0.0.1:0", Loops: 2, Bounds: b, Book: book(t), Info: func() string { return "x:1" }, Log: zerolog.Nop()}
+	o := Options{Listen: "127.0.0.1:0", Loops: 2, Limits: b, Registry: book(t), Info: func() string { return "x:1" }, Log: zerolog.Nop()}
 	if more != nil {
 		more(&o)
 	}
@@ -299,15 +299,15 @@
 		slow.ended("")
 		silent.ended("") // did not log in
 		idle.expect("PING\r\n", "+PONG\r\n")
-		if srv.Counts().Cut != 2 {
-			t.Errorf("%d cut, want 2", srv.Counts().Cut)
+		if srv.Counts().Terminated != 2 {
+			t.Errorf("%d cut, want 2", srv.Counts().Terminated)
 		}
 	})
 	t.Run("client that never reads", func(t *testing.T) {
 		srv, _, addr := start(t, func(b *config.Front) { b.Output, b.Partial = 64<<10, 300*time.Millisecond })
 		k := connect(t, addr, true)
 		big := "ECHO " + strings.Repeat("x", 4000) + "\r\n"
-		for srv.Counts().Cut == 0 {
+		for srv.Counts().Terminated == 0 {
 			if _, err := io.WriteString(k, big); err != nil {
 				break
 			}
@@ -350,7 +350,7 @@
 	t.Run("drain", func(t *testing.T) {
 		srv, _, addr := start(t, nil)
 		k := connect(t, addr, true)
-		srv.Drain()
+		srv.RejectNewConnections()
 		connect(t, addr, false).ended("-ERR this instance is shutting down\r\n")
 		k.expect("PING\r\n", "+PONG\r\n")
 	})
--- a/internal/front/input.go
+++ b/internal/front/input.go
@@ -12,44 +12,44 @@
 const passAfter = 2
 
 // stranger requests memory for the input of a connection that has not logged in.
-func (s *Server) stranger(k *conn, bytes int) intake.Verdict {
-	s.poolMu.Lock()
-	defer s.poolMu.Unlock()
-	return s.pool.Stranger(k.id, bytes)
+func (srv *Server) stranger(k *conn, bytes int) intake.Verdict {
+	srv.poolMu.Lock()
+	defer srv.poolMu.Unlock()
+	return srv.pool.Stranger(k.id, bytes)
 }
 
 // ask requests memory for the input of a connection that has logged in.
-func (s *Server) ask(k *conn, bytes int) intake.Verdict {
-	s.poolMu.Lock()
-	defer s.poolMu.Unlock()
-	v, others := s.pool.Ask(seconds(), k.id, bytes)
+func (srv *Server) ask(k *conn, bytes int) intake.Verdict {
+	srv.poolMu.Lock()
+	defer srv.poolMu.Unlock()
+	v, others := srv.pool.Ask(seconds(), k.id, bytes)
 	if v == intake.Wait {
-		s.asking[k.id] = k
+		srv.asking[k.id] = k
 	}
-	s.granted(others)
+	srv.granted(others)
 	return v
 }
 
 // done returns a connection's memory to the pool.
-func (s *Server) done(k *conn) {
-	s.poolMu.Lock()
-	defer s.poolMu.Unlock()
-	s.granted(s.pool.Done(seconds(), k.id))
+func (srv *Server) done(k *conn) {
+	srv.poolMu.Lock()
+	defer srv.poolMu.Unlock()
+	srv.granted(srv.pool.Done(seconds(), k.id))
 }
 
 // leave removes a connection from the pool, with the memory that it holds and any request for more.
-func (s *Server) leave(k *conn) {
-	s.poolMu.Lock()
-	defer s.poolMu.Unlock()
-	delete(s.asking, k.id)
-	s.granted(s.pool.Leave(seconds(), k.id))
+func (srv *Server) leave(k *conn) {
+	srv.poolMu.Lock()
+	defer srv.poolMu.Unlock()
+	delete(srv.asking, k.id)
+	srv.granted(srv.pool.Leave(seconds(), k.id))
 }
 
 // granted notifies connections, each on its own loop, that the pool has granted their requests. The caller holds poolMu.
-func (s *Server) granted(ids []uint64) {
+func (srv *Server) granted(ids []uint64) {
 	for _, id := range ids {
-		k := s.asking[id]
-		delete(s.asking, id)
+		k := srv.asking[id]
+		delete(srv.asking, id)
 		if k != nil {
 			_ = k.loop.el.Execute(func() { k.loop.goOn(k) }) // an error means that the loops are ending
 		}
--- a/internal/front/linger_test.go
+++ b/internal/front/linger_test.go
@@ -92,13 +92,13 @@
 		t.Errorf("%d requests submitted, want only the first", n)
 	}
 	k.Close()
-	wait(t, func() bool { return srv.Open() == 0 && srv.lingering.Load() == 0 })
+	wait(t, func() bool { return srv.OpenConnections() == 0 && srv.lingering.Load() == 0 })
 }
 
 // A malformed command is followed by far more input than one read takes: the client gets the whole error and a regular end
 // of the connection.
 func TestErrorWithInputBehindIt(t *testing.T) {
-	_, _, addr := startWith(t, nil, func(o *Options) { o.Commands, o.Loops = echo{}, 1 })
+	_, _, addr := startWith(t, nil, func(o *Options) { o.Handler, o.Loops = echo{}, 1 })
 	k := visitor(t, addr)
 	k.write("*9\r\n" + strings.Repeat("x", 100<<10))
 	line, err := k.r.ReadString('\n')
@@ -110,7 +110,7 @@
 
 // A client that never stops sending, or never closes, is disconnected during the lingering close.
 func TestLingeringIsBounded(t *testing.T) {
-	srv, _, addr := startWith(t, nil, func(o *Options) { o.Commands, o.Loops = echo{}, 1 })
+	srv, _, addr := startWith(t, nil, func(o *Options) { o.Handler, o.Loops = echo{}, 1 })
 	k := visitor(t, addr)
 	k.write("*9\r\n")
 	var err error
@@ -126,16 +126,16 @@
 		t.Errorf("%q, %v", line, err)
 	}
 	quiet.finishes("")
-	wait(t, func() bool { return srv.Open() == 0 }) // though the client does not close
+	wait(t, func() bool { return srv.OpenConnections() == 0 }) // though the client does not close
 }
 
 // The second of two commands is never completed: the first still gets its reply before the connection is closed.
 func TestUnfinishedCommandBehindAnOpenOne(t *testing.T) {
-	srv, s, addr := startWith(t, func(f *config.Front) { f.Partial = 50 * time.Millisecond }, func(o *Options) { o.Commands, o.Loops = echo{}, 1 })
+	srv, s, addr := startWith(t, func(f *config.Front) { f.Partial = 50 * time.Millisecond }, func(o *Options) { o.Handler, o.Loops = echo{}, 1 })
 	k := visitor(t, addr)
 	k.write(hold + say[:5])
 	call := <-s.held
-	wait(t, func() bool { return srv.Counts().Cut == 1 })
+	wait(t, func() bool { return srv.Counts().Terminated == 1 })
 	give(call, core.Answer{Payload: []byte("+held\r\n")})
 	k.finishes("+held\r\n")
 }
@@ -143,13 +143,13 @@
 // Requests that arrive during a shutdown, on a new connection or in the socket of an idle one, get their replies, and each
 // connection ends after its reply; one with half a command ends without a reset.
 func TestRetireCrossesRequests(t *testing.T) {
-	srv, s, addr := startWith(t, nil, func(o *Options) { o.Commands, o.Loops = echo{}, 1 })
+	srv, s, addr := startWith(t, nil, func(o *Options) { o.Handler, o.Loops = echo{}, 1 })
 	idle := visitor(t, addr)
 	idle.says(say, "+said\r\n")
 	inLoop(t, srv, func(_ *loop, c *conn) {
 		idle.write(say)
 		lies(c)
-		srv.Retire()
+		srv.CloseWhenIdle()
 	})
 	idle.finishes("+said\r\n")
 	late := visitor(t, addr)
@@ -174,16 +174,16 @@
 // A client disconnects while reading is paused and input before the end is unread: all its open requests are cancelled, and
 // the unread ones are not submitted.
 func TestLeavesWhileParked(t *testing.T) {
-	srv, s, addr := startWith(t, func(f *config.Front) { f.Pipeline = 10 }, func(o *Options) { o.Commands, o.Loops, o.Leavers = echo{}, 1, true })
+	srv, s, addr := startWith(t, func(f *config.Front) { f.Pipeline = 10 }, func(o *Options) { o.Handler, o.Loops, o.CloseOnClientEOF = echo{}, 1, true })
 	for _, leave := range []func(k *raw) error{(*raw).Close, func(k *raw) error { return k.Conn.(*net.TCPConn).CloseWrite() }} {
-		parked, asked, left := srv.Counts().Parked, s.seen(), s.left()
+		parked, asked, left := srv.Counts().ReadsPaused, s.seen(), s.left()
 		k := visitor(t, addr)
 		k.write(strings.Repeat(hold, 10) + strings.Repeat(say, 2000)) // no more than the socket buffers hold: an end of the connection after more than that would not be sent
-		wait(t, func() bool { return srv.Counts().Parked == parked+1 })
+		wait(t, func() bool { return srv.Counts().ReadsPaused == parked+1 })
 		if err := leave(k); err != nil {
 			t.Fatal(err)
 		}
-		wait(t, func() bool { return s.left() == left+10 && srv.Open() == 0 })
+		wait(t, func() bool { return s.left() == left+10 && srv.OpenConnections() == 0 })
 		if n := s.seen() - asked; n != 10 {
 			t.Errorf("%d requests submitted, want 10", n)
 		}
@@ -195,7 +195,7 @@
 func TestClientGoneBeforeItsRequestIsRead(t *testing.T) {
 	for _, leave := range []func(k *raw) error{(*raw).Close, func(k *raw) error { return k.Conn.(*net.TCPConn).CloseWrite() }} {
 		for _, stands := range []bool{false, true} {
-			srv, s, addr := startWith(t, nil, func(o *Options) { o.Commands, o.Loops, o.Leavers = echo{}, 1, true })
+			srv, s, addr := startWith(t, nil, func(o *Options) { o.Handler, o.Loops, o.CloseOnClientEOF = echo{}, 1, true })
 			k := visitor(t, addr)
 			if stands {
 				k.says(say, "+said\r\n")
@@ -233,7 +233,7 @@
 func TestClientGoneWhileOthersAreServed(t *testing.T) {
 	entered, release := make(chan struct{}), make(chan struct{})
 	srv, s, addr := startWith(t, nil, func(o *Options) {
-		o.Commands, o.Loops, o.Leavers = &slowWorld{entered: entered, release: release}, 1, true
+		o.Handler, o.Loops, o.CloseOnClientEOF = &slowWorld{entered: entered, release: release}, 1, true
 	})
 	busy, leaver := visitor(t, addr), visitor(t, addr)
 	busy.says(say, "+said\r\n")
@@ -254,7 +254,7 @@
 	leaver.Close()
 	time.Sleep(50 * time.Millisecond)
 	close(release)
-	wait(t, func() bool { return srv.Open() == 1 })
+	wait(t, func() bool { return srv.OpenConnections() == 1 })
 	if n := s.seen(); n != 0 {
 		t.Errorf("%d requests submitted for a client that had disconnected", n)
 	}
@@ -266,14 +266,14 @@
 	entered, release chan struct{}
 }
 
-func (w *slowWorld) Command(c Conn, args [][]byte) {
+func (w *slowWorld) HandleCommand(c Conn, args [][]byte) {
 	if string(args[0]) == "SLOW" {
 		close(w.entered)
 		<-w.release
-		c.Say([]byte("+slow\r\n"))
+		c.Reply([]byte("+slow\r\n"))
 		return
 	}
-	w.echo.Command(c, args)
+	w.echo.HandleCommand(c, args)
 }
 
 // A shutdown with many idle connections: on each a request crosses the end of the connection, and none is reset.
@@ -286,7 +286,7 @@
 		k.says(say, "+said\r\n")
 		house = append(house, k)
 	}
-	srv.Retire()
+	srv.CloseWhenIdle()
 	for _, k := range house { // the server has closed its side, and the request crosses that
 		if _, err := k.r.Peek(1); err != io.EOF {
 			t.Errorf("got %v, want io.EOF", err)
@@ -303,5 +303,5 @@
 	for _, k := range house {
 		k.Close()
 	}
-	wait(t, func() bool { return srv.Open() == 0 })
+	wait(t, func() bool { return srv.OpenConnections() == 0 })
 }
--- a/internal/front/output.go
+++ b/internal/front/output.go
@@ -37,12 +37,12 @@
 			k.leftSince = time.Now()
 			k.out = k.out[:copy(k.out, k.out[n:])]
 		}
-		if k.congested = len(k.out) > min(congestMost, l.s.opt.Bounds.Output/2); len(k.out) > 0 {
+		if k.congested = len(k.out) > min(congestMost, l.s.opt.Limits.Output/2); len(k.out) > 0 {
 			l.behind = append(l.behind, k)
 		} else {
 			k.out = nil
 		}
-		if err != nil || len(k.out) > 0 && time.Since(k.leftSince) > l.s.opt.Bounds.Partial {
+		if err != nil || len(k.out) > 0 && time.Since(k.leftSince) > l.s.opt.Limits.Partial {
 			l.s.cut.Add(1)
 			if k.endError = err; err != nil {
 				k.because(writeFailed)
@@ -101,7 +101,7 @@
 			l.fellBehind(k)
 		}
 		k.out = append(k.out, b...)
-		k.congested = len(k.out) > min(congestMost, l.s.opt.Bounds.Output/2)
+		k.congested = len(k.out) > min(congestMost, l.s.opt.Limits.Output/2)
 	}
 	l.buf = l.buf[:0]
 	if cap(l.buf) > 1<<20 {
@@ -151,8 +151,8 @@
 	switch {
 	case p.ready != nil:
 		return append(b, p.ready...)
-	case k.loop.s.opt.Commands != nil:
-		return k.loop.s.opt.Commands.Answer(b, &p.call)
+	case k.loop.s.opt.Handler != nil:
+		return k.loop.s.opt.Handler.AppendReply(b, &p.call)
 	case a.Kind == core.Served && k.version == 2 && len(a.Payload) > 0 && !old(a.Payload[0]):
 		return resp.AppendDowngraded(b, a.Payload, k.loop.s.lim)
 	case a.Kind == core.Served:
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -29,14 +29,14 @@
 	Gone(calls []*core.Call)
 }
 
-// Commands interprets the commands of clients and encodes the replies. Its methods are called on the event loops, possibly
+// CommandHandler interprets the commands of clients and encodes the replies. Its methods are called on the event loops, possibly
 // concurrently, and must not block.
-type Commands interface {
+type CommandHandler interface {
 	// Command handles one command, which has at least one argument. The arguments are valid until it returns. It calls
 	// Conn.Ask or Conn.Say exactly once.
-	Command(c Conn, args [][]byte)
+	HandleCommand(c Conn, args [][]byte)
 	// Answer appends the reply to a call that was submitted and has its final answer.
-	Answer(dst []byte, c *core.Call) []byte
+	AppendReply(dst []byte, c *core.Call) []byte
 	// Limits returns the size limits of a command. A command that exceeds them ends the connection with an error.
 	Limits() resp.Limits
 }
@@ -44,45 +44,45 @@
 // Conn is a client's connection as a command handler sees it.
 type Conn interface {
 	// Ask submits the command to the core.
-	Ask(c core.Call)
+	Submit(c core.Call)
 	// Say replies to the command without the core, after the replies to earlier commands. The slice is copied.
-	Say(answer []byte)
+	Reply(answer []byte)
 }
 
 // Options are the settings of a Server.
 type Options struct {
 	Listen string // host:port; port 0 selects a free port
 	Loops  int    // number of event loops, at least 1
-	Bounds config.Front
+	Limits config.Front
 	// Commands handles the commands of clients that do not log in; each command is then an array of at least one
 	// argument. With nil the front serves this gateway's own commands, to the clients of Book.
-	Commands Commands
-	Book     *access.Registry
+	Handler  CommandHandler
+	Registry *access.Registry
 	// Leavers makes the end of a client's connection, or of its sending side, take effect at once, even while reading is
 	// paused: its open requests are cancelled and input received before the end is discarded. Otherwise that input is
 	// processed first.
-	Leavers bool
-	Crowd   crowd.Limits  // when idle connections are closed or evicted; with the zero value they are kept
-	Info    func() string // returns the text of the INFO command
+	CloseOnClientEOF bool
+	IdleLimits       crowd.Limits  // when idle connections are closed or evicted; with the zero value they are kept
+	Info             func() string // returns the text of the INFO command
 	// Age returns the maximum age of the input that is being read, and the current time. readAt is the time of the
 	// previous read from the connection, and parked means that reading was paused on purpose since then. With nil the
 	// age of input is always 0.
-	Age func(readAt float64, parked bool) (ageS, now float64)
+	InputAge func(readAt float64, parked bool) (ageS, now float64)
 	// Read filters each chunk of input and returns the bytes to process; with nil all are processed. Tests use it to
 	// inject loss of input.
-	Read func(data []byte) []byte
-	Log  zerolog.Logger
+	FilterInput func(data []byte) []byte
+	Log         zerolog.Logger
 }
 
 // Counts are totals since the start, but for Open and Input, which are current values.
 type Counts struct {
 	// Connections opened and currently open; commands read; connections closed for exceeding a limit or violating the
 	// protocol; logins denied.
-	Opened, Open, Commands, Cut, Denied uint64
-	Parked                              uint64 // times that reading from a connection was paused
-	Evicted                             uint64 // idle connections closed to make room for new ones
-	Abandoned                           uint64 // requests whose connection was closed by this side before the reply
-	Input                               intake.Counts
+	Opened, Open, Commands, Terminated, LoginsDenied uint64
+	ReadsPaused                                      uint64 // times that reading from a connection was paused
+	Evicted                                          uint64 // idle connections closed to make room for new ones
+	Abandoned                                        uint64 // requests whose connection was closed by this side before the reply
+	Input                                            intake.Counts
 }
 
 // Server accepts connections of clients and serves them on event loops.
@@ -116,14 +116,14 @@
 	s := &Server{opt: opt, core: c, stop: make(chan struct{}), loops: map[*eventloop.Loop]*loop{}, asking: map[uint64]*conn{}}
 	s.boundByDescriptors()
 	s.lim = resp.DefaultLimits
-	s.lim.Bulk, s.lim.Command = opt.Bounds.Bulk, opt.Bounds.Bulk+aheadMost
-	if opt.Commands != nil {
-		s.lim = opt.Commands.Limits()
+	s.lim.Bulk, s.lim.Command = opt.Limits.Bulk, opt.Limits.Bulk+aheadMost
+	if opt.Handler != nil {
+		s.lim = opt.Handler.Limits()
 	}
-	s.pool = intake.New(intake.Limits{Free: chunkMost, Total: max(opt.Bounds.Input, opt.Bounds.Bulk), Reserve: s.lim.Command,
-		Strangers: max(opt.Bounds.Input/4, strangerMost), PassS: passAfter})
+	s.pool = intake.New(intake.Limits{Free: chunkMost, Total: max(opt.Limits.Input, opt.Limits.Bulk), Reserve: s.lim.Command,
+		Strangers: max(opt.Limits.Input/4, strangerMost), PassS: passAfter})
 	var err error
-	if s.group, err = eventloop.New(s, eventloop.Options{Loops: opt.Loops, ReadBuffer: chunkMost, EndsFirst: opt.Leavers, Log: opt.Log}); err != nil {
+	if s.group, err = eventloop.New(s, eventloop.Options{Loops: opt.Loops, ReadBuffer: chunkMost, EndsFirst: opt.CloseOnClientEOF, Log: opt.Log}); err != nil {
 		return nil, fmt.Errorf("front: %w", err)
 	}
 	for _, el := range s.group.Loops() {
@@ -142,37 +142,37 @@
 
 // boundByDescriptors lowers the limit on connections according to the system's limit on file descriptors. A quarter and 64
 // descriptors are left for connections to servers, discovery and other instances.
-func (s *Server) boundByDescriptors() {
+func (srv *Server) boundByDescriptors() {
 	var files unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &files); err != nil || files.Cur >= 1<<30 {
 		return
 	}
-	if most := max(1, int(files.Cur)*3/4-64); s.opt.Bounds.Connections > most {
-		s.opt.Log.Warn().Int("connections", most).Uint64("descriptors", files.Cur).Msg("connection limit lowered to fit the file descriptor limit; raise ulimit -n")
-		s.opt.Bounds.Connections = most
+	if most := max(1, int(files.Cur)*3/4-64); srv.opt.Limits.Connections > most {
+		srv.opt.Log.Warn().Int("connections", most).Uint64("descriptors", files.Cur).Msg("connection limit lowered to fit the file descriptor limit; raise ulimit -n")
+		srv.opt.Limits.Connections = most
 	}
 }
 
 // Addr returns the address that the server listens on.
-func (s *Server) Addr() net.Addr { return s.group.Addr() }
+func (srv *Server) Addr() net.Addr { return srv.group.Addr() }
 
-// Drain makes the server reject new connections; existing ones are still served.
-func (s *Server) Drain() { s.stopping.Store(true) }
+// RejectNewConnections makes the server reject new connections; existing ones are still served.
+func (srv *Server) RejectNewConnections() { srv.stopping.Store(true) }
 
-// Retire makes the server close each connection as soon as it has no open request, and new connections after their first
+// CloseWhenIdle makes the server close each connection as soon as it has no open request, and new connections after their first
 // reply.
-func (s *Server) Retire() {
-	if s.retiring.CompareAndSwap(false, true) {
-		s.look()
+func (srv *Server) CloseWhenIdle() {
+	if srv.retiring.CompareAndSwap(false, true) {
+		srv.look()
 	}
 }
 
-// Open returns the number of open connections.
-func (s *Server) Open() int { return int(s.open.Load()) }
+// OpenConnections returns the number of open connections.
+func (srv *Server) OpenConnections() int { return int(srv.open.Load()) }
 
 // Flush returns once every reply produced so far has been handed to the operating system, or when ctx is done.
-func (s *Server) Flush(ctx context.Context) {
-	for _, l := range s.loops {
+func (srv *Server) Flush(ctx context.Context) {
+	for _, l := range srv.loops {
 		for behind := 1; behind > 0; {
 			done := make(chan int, 1)
 			if l.el.Execute(func() { done <- len(l.behind) }) != nil {
@@ -191,12 +191,12 @@
 }
 
 // Stop closes all connections and returns when the event loops have ended.
-func (s *Server) Stop(ctx context.Context) {
-	s.Drain()
-	s.part(ctx)
-	close(s.stop)
-	s.sweeper.Wait()
-	s.group.Stop()
+func (srv *Server) Stop(ctx context.Context) {
+	srv.RejectNewConnections()
+	srv.part(ctx)
+	close(srv.stop)
+	srv.sweeper.Wait()
+	srv.group.Stop()
 }
 
 // seconds returns the time since the process started, in seconds.
@@ -205,31 +205,31 @@
 var processStart = time.Now()
 
 // Counts returns the totals so far.
-func (s *Server) Counts() Counts {
-	s.poolMu.Lock()
-	input := s.pool.Counts()
-	s.poolMu.Unlock()
-	return Counts{s.opened.Load(), s.open.Load(), s.commands.Load(), s.cut.Load(), s.denied.Load(), s.parks.Load(), s.evicted.Load(), s.abandoned.Load(), input}
+func (srv *Server) Counts() Counts {
+	srv.poolMu.Lock()
+	input := srv.pool.Counts()
+	srv.poolMu.Unlock()
+	return Counts{srv.opened.Load(), srv.open.Load(), srv.commands.Load(), srv.cut.Load(), srv.denied.Load(), srv.parks.Load(), srv.evicted.Load(), srv.abandoned.Load(), input}
 }
 
 // OnOpen accepts or rejects a new connection. It implements eventloop.Handler.
-func (s *Server) OnOpen(c *eventloop.Conn) eventloop.Action {
-	s.opened.Add(1)
-	open := s.open.Add(1)
-	l := s.loops[c.Loop()]
-	if most := s.opt.Bounds.Connections - s.opt.Bounds.Connections/lingerShare; int64(open)-s.lingering.Load() > int64(most) && !l.evict() {
-		s.cut.Add(1)
+func (srv *Server) OnOpen(c *eventloop.Conn) eventloop.Action {
+	srv.opened.Add(1)
+	open := srv.open.Add(1)
+	l := srv.loops[c.Loop()]
+	if most := srv.opt.Limits.Connections - srv.opt.Limits.Connections/lingerShare; int64(open)-srv.lingering.Load() > int64(most) && !l.evict() {
+		srv.cut.Add(1)
 		_, _ = c.Send([]byte("-ERR max number of clients reached\r\n")) // best effort
 		return eventloop.Close                                          // without reading to its end: the descriptor is needed
 	}
-	k := &conn{c: c, loop: l, id: s.nextID.Add(1), version: 2, since: time.Now()}
-	if s.opt.Commands != nil {
+	k := &conn{c: c, loop: l, id: srv.nextID.Add(1), version: 2, since: time.Now()}
+	if srv.opt.Handler != nil {
 		k.client = &anyone
 	}
 	k.guest.Since = seconds()
 	l.conns[k] = struct{}{}
 	c.SetContext(k)
-	if s.stopping.Load() && s.opt.Commands == nil {
+	if srv.stopping.Load() && srv.opt.Handler == nil {
 		k.quit = true
 		k.because(shuttingDown)
 		k.say(func(b []byte) []byte { return resp.AppendError(b, "ERR this instance is shutting down") })
@@ -242,10 +242,10 @@
 }
 
 // OnClose removes a connection that has been closed. It implements eventloop.Handler.
-func (s *Server) OnClose(c *eventloop.Conn, err error) {
+func (srv *Server) OnClose(c *eventloop.Conn, err error) {
 	k, ok := c.Context().(*conn)
 	if !ok { // rejected in OnOpen
-		s.open.Add(^uint64(0))
+		srv.open.Add(^uint64(0))
 		return
 	}
 	k.ended(err)
@@ -253,13 +253,13 @@
 }
 
 // OnData processes input from a connection. It implements eventloop.Handler.
-func (s *Server) OnData(c *eventloop.Conn, data []byte) eventloop.Action {
+func (srv *Server) OnData(c *eventloop.Conn, data []byte) eventloop.Action {
 	k, ok := c.Context().(*conn)
 	if !ok {
 		return eventloop.Close
 	}
-	if s.opt.Read != nil {
-		data = s.opt.Read(data)
+	if srv.opt.FilterInput != nil {
+		data = srv.opt.FilterInput(data)
 	}
 	k.looked(false)
 	l := k.loop
@@ -275,29 +275,29 @@
 }
 
 // sweep checks all connections periodically, at least once a second, and closes those that use up resources without progress.
-func (s *Server) sweep() {
-	defer s.sweeper.Done()
-	tick := time.NewTicker(min(time.Second, max(s.opt.Bounds.Partial/8, 10*time.Millisecond)))
+func (srv *Server) sweep() {
+	defer srv.sweeper.Done()
+	tick := time.NewTicker(min(time.Second, max(srv.opt.Limits.Partial/8, 10*time.Millisecond)))
 	defer tick.Stop()
 	for {
 		select {
-		case <-s.stop:
+		case <-srv.stop:
 			return
 		case <-tick.C:
 		}
-		s.poolMu.Lock()
-		s.granted(s.pool.Tick(seconds()))
-		s.poolMu.Unlock()
-		s.look()
+		srv.poolMu.Lock()
+		srv.granted(srv.pool.Tick(seconds()))
+		srv.poolMu.Unlock()
+		srv.look()
 	}
 }
 
 // look makes all event loops check which of their connections are to be closed.
-func (s *Server) look() { s.each((*loop).sweep) }
+func (srv *Server) look() { srv.each((*loop).sweep) }
 
 // each runs f on every event loop, without waiting for it.
-func (s *Server) each(f func(l *loop)) {
-	for el, l := range s.loops {
+func (srv *Server) each(f func(l *loop)) {
+	for el, l := range srv.loops {
 		_ = el.Execute(func() { f(l) }) // an error means that the loops are ending, and nothing is left to do
 	}
 }
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -140,8 +140,8 @@
 			return nil, err
 		}
 	}
-	i.front, err = front.Start(calls, front.Options{Listen: cfg.Listen, Loops: loops, Bounds: cfg.Front, Book: book,
-		Info: i.Info, Age: i.stalls.Age, Read: opt.Hooks.Read, Log: opt.Log.With().Str("part", "front").Logger()})
+	i.front, err = front.Start(calls, front.Options{Listen: cfg.Listen, Loops: loops, Limits: cfg.Front, Registry: book,
+		Info: i.Info, InputAge: i.stalls.Age, FilterInput: opt.Hooks.Read, Log: opt.Log.With().Str("part", "front").Logger()})
 	if err != nil {
 		return nil, err
 	}
@@ -189,7 +189,7 @@
 // Stop turns new work away, lets what is in flight end for as long as the settings say, settles the rest,
 // and closes everything. When ctx is over it settles at once. Each request taken has had its answer.
 func (i *Instance) Stop(ctx context.Context) {
-	i.front.Drain()
+	i.front.RejectNewConnections()
 	if i.rpc != nil {
 		i.rpc.Drain()
 	}
@@ -261,8 +261,8 @@
 		"late_answers", s.Late, "probes", s.Probes)
 	if i.front != nil {
 		c := i.front.Counts()
-		section("Clients", "connections", c.Open, "connections_total", c.Opened, "connections_cut", c.Cut, "commands", c.Commands,
-			"logins_denied", c.Denied, "connections_parked", c.Parked, "input_held", c.Input.Held, "input_waiting", c.Input.Waiting,
+		section("Clients", "connections", c.Open, "connections_total", c.Opened, "connections_cut", c.Terminated, "commands", c.Commands,
+			"logins_denied", c.LoginsDenied, "connections_parked", c.ReadsPaused, "input_held", c.Input.Held, "input_waiting", c.Input.Waiting,
 			"input_strangers", c.Input.Strangers)
 	}
 	if i.rpc != nil {
