--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -35,15 +35,16 @@
 // run writes lines from the queue until it is closed, and reports dropped lines in the log after the next line that is written.
 func (w *Writer) run() {
 	defer close(w.done)
-	told := uint64(0)
+	reported := uint64(0)
 	for line := range w.queue {
 		if _, err := w.out.Write(line); err != nil {
 			w.dropped.Add(1)
 			continue
 		}
-		if n := w.dropped.Load(); n > told {
-			if _, err := fmt.Fprintf(w.out, "{\"level\":\"warn\",\"dropped\":%d,\"message\":\"lines of the log were dropped\"}\n", n); err == nil {
-				told = n
+		if n := w.dropped.Load(); n > reported {
+			if _, err := fmt.Fprintf(w.out,
+				"{\"level\":\"warn\",\"dropped\":%d,\"message\":\"lines of the log were dropped\"}\n", n); err == nil {
+				reported = n
 			}
 		}
 	}
@@ -63,10 +64,10 @@
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
 // Close waits until the queued lines are written, but no longer than timeout. Write must not be called after it.
-func (w *Writer) Close(most time.Duration) {
+func (w *Writer) Close(timeout time.Duration) {
 	close(w.queue)
 	select {
 	case <-w.done:
-	case <-time.After(most):
+	case <-time.After(timeout):
 	}
 }
--- a/internal/resp/parse.go
+++ b/internal/resp/parse.go
@@ -32,17 +32,17 @@
 // ErrIncomplete means that the input so far is the beginning of a command or reply.
 var ErrIncomplete = errors.New("incomplete")
 
-// line returns the line that starts at from, without its line end, and the offset of the next one. The line may be max bytes
-// long, with a carriage return.
-func line(buf []byte, from, most int) (text []byte, next int, err error) {
+// readLine returns the line that starts at from, without its line end, and the offset of the next line. The line may be maxLen
+// bytes long, including a carriage return at its end.
+func readLine(buf []byte, from, maxLen int) (text []byte, next int, err error) {
 	i := bytes.IndexByte(buf[from:], '\n')
 	if i < 0 {
-		if len(buf)-from > most {
+		if len(buf)-from > maxLen {
 			return nil, 0, ProtocolError("too big inline request")
 		}
 		return nil, 0, ErrIncomplete
 	}
-	if i > most {
+	if i > maxLen {
 		return nil, 0, ProtocolError("too big inline request")
 	}
 	text = buf[from : from+i]
@@ -52,8 +52,8 @@
 	return text, from + i + 1, nil
 }
 
-// number parses the integer of a header: digits with an optional minus sign, and nothing else.
-func number(b []byte) (int, bool) {
+// parseInteger parses the integer of a header: digits with an optional minus sign, and nothing else.
+func parseInteger(b []byte) (int, bool) {
 	if len(b) == 0 || len(b) > 18 {
 		return 0, false
 	}
@@ -85,45 +85,45 @@
 	if lim.ArraysOnly && buf[0] != '*' {
 		return args, 0, 0, ProtocolError("expected '*', got '" + printable(buf[0]) + "'")
 	}
-	head, at, err := line(buf, 0, lim.Inline)
+	header, offset, err := readLine(buf, 0, lim.Inline)
 	if err != nil {
 		return args, 0, len(buf) + 1, err
 	}
 	if buf[0] != '*' {
-		args, err = inline(head, args, lim.Args)
-		return args, at, 0, err
+		args, err = splitInline(header, args, lim.Args)
+		return args, offset, 0, err
 	}
-	count, ok := number(head[1:])
+	count, ok := parseInteger(header[1:])
 	if !ok || count > lim.Args {
 		return args, 0, 0, ProtocolError("invalid multibulk length")
 	}
 	for ; count > 0; count-- {
-		if at >= len(buf) {
-			return args, 0, at + 4, ErrIncomplete
+		if offset >= len(buf) {
+			return args, 0, offset + 4, ErrIncomplete
 		}
-		if buf[at] != '$' {
-			return args, 0, 0, ProtocolError("expected '$', got '" + printable(buf[at]) + "'")
+		if buf[offset] != '$' {
+			return args, 0, 0, ProtocolError("expected '$', got '" + printable(buf[offset]) + "'")
 		}
-		head, next, err := line(buf, at, lim.Inline)
+		header, next, err := readLine(buf, offset, lim.Inline)
 		if err != nil {
 			return args, 0, len(buf) + 1, err
 		}
-		size, ok := number(head[1:])
+		size, ok := parseInteger(header[1:])
 		if !ok || size < 0 || size > lim.Bulk {
 			return args, 0, 0, ProtocolError("invalid bulk length")
 		}
-		if at = next + size + 2; lim.Command > 0 && at > lim.Command {
+		if offset = next + size + 2; lim.Command > 0 && offset > lim.Command {
 			return args, 0, 0, ProtocolError("too big request")
 		}
-		if at > len(buf) {
-			return args, 0, at, ErrIncomplete
+		if offset > len(buf) {
+			return args, 0, offset, ErrIncomplete
 		}
-		if buf[at-2] != '\r' || buf[at-1] != '\n' {
+		if buf[offset-2] != '\r' || buf[offset-1] != '\n' {
 			return args, 0, 0, ProtocolError("bulk string not ended by CRLF")
 		}
 		args = append(args, buf[next:next+size])
 	}
-	return args, at, 0, nil
+	return args, offset, 0, nil
 }
 
 // printable returns c for an error message, escaped if it is not printable ASCII.
@@ -134,39 +134,39 @@
 	return string(c)
 }
 
-// inline splits an inline command at spaces and tabs. Arguments may be quoted; in double quotes a backslash escapes the next
+// splitInline splits an inline command at spaces and tabs. Arguments may be quoted; in double quotes a backslash escapes the next
 // character, in single quotes only a single quote.
-func inline(s []byte, args [][]byte, most int) ([][]byte, error) {
-	for i := 0; i < len(s); {
-		if s[i] == ' ' || s[i] == '\t' {
+func splitInline(line []byte, args [][]byte, maxArgs int) ([][]byte, error) {
+	for i := 0; i < len(line); {
+		if line[i] == ' ' || line[i] == '\t' {
 			i++
 			continue
 		}
-		if len(args) >= most {
+		if len(args) >= maxArgs {
 			return args, ProtocolError("too many arguments")
 		}
-		q := s[i]
-		if q != '"' && q != '\'' {
+		quote := line[i]
+		if quote != '"' && quote != '\'' {
 			from := i
-			for i < len(s) && s[i] != ' ' && s[i] != '\t' {
+			for i < len(line) && line[i] != ' ' && line[i] != '\t' {
 				i++
 			}
-			args = append(args, s[from:i])
+			args = append(args, line[from:i])
 			continue
 		}
 		arg, closed := []byte{}, false
-		for i++; i < len(s) && !closed; i++ {
-			switch c := s[i]; {
-			case c == q:
+		for i++; i < len(line) && !closed; i++ {
+			switch c := line[i]; {
+			case c == quote:
 				closed = true
-			case c == '\\' && i+1 < len(s) && (q == '"' || s[i+1] == '\''):
+			case c == '\\' && i+1 < len(line) && (quote == '"' || line[i+1] == '\''):
 				i++
-				arg = append(arg, unescape(s[i]))
+				arg = append(arg, unescape(line[i]))
 			default:
 				arg = append(arg, c)
 			}
 		}
-		if !closed || i < len(s) && s[i] != ' ' && s[i] != '\t' {
+		if !closed || i < len(line) && line[i] != ' ' && line[i] != '\t' {
 			return args, ProtocolError("unbalanced quotes in request")
 		}
 		args = append(args, arg)
@@ -187,64 +187,64 @@
 	return c
 }
 
-// ReplyLength returns the length of the reply at the start of buf in bytes. Attributes that precede a reply are part of it. Errors
-// are ErrIncomplete or a ProtocolError.
+// ReplyLength returns the length of the reply at the start of buf in bytes. Attributes that precede a reply are part of it.
+// Errors are ErrIncomplete or a ProtocolError.
 func ReplyLength(buf []byte, lim Limits) (int, error) {
 	n, _, err := ScanReply(buf, lim)
 	return n, err
 }
 
-// ScanReply is like Reply, and with ErrIncomplete it also returns the minimum length of buf for which parsing can make
+// ScanReply is like ReplyLength, and with ErrIncomplete it also returns the minimum length of buf for which parsing can make
 // progress.
 func ScanReply(buf []byte, lim Limits) (n, need int, err error) {
-	at, elements := 0, lim.Args
-	var open [32]int // elements left on each level of nesting
+	offset, elementsLeft := 0, lim.Args
+	var levels [32]int // elements left on each level of nesting
 	depth := 0
 	for {
-		if at >= len(buf) {
-			return 0, at + 1, ErrIncomplete
+		if offset >= len(buf) {
+			return 0, offset + 1, ErrIncomplete
 		}
-		head, next, err := line(buf, at, lim.Inline)
+		header, next, err := readLine(buf, offset, lim.Inline)
 		if err != nil {
 			return 0, len(buf) + 1, err
 		}
-		if len(head) == 0 {
+		if len(header) == 0 {
 			return 0, 0, ProtocolError("empty line in place of a reply")
 		}
 		attribute, children := false, 0
-		switch kind := head[0]; kind {
+		switch kind := header[0]; kind {
 		case '+', '-', ':', '_', ',', '#', '(':
-			at = next
+			offset = next
 		case '$', '!', '=':
-			size, ok := number(head[1:])
+			size, ok := parseInteger(header[1:])
 			if !ok || size < -1 || size > lim.Bulk {
 				return 0, 0, ProtocolError("invalid bulk length")
 			}
-			if at = next; size >= 0 {
-				at = next + size + 2
+			if offset = next; size >= 0 {
+				offset = next + size + 2
 			}
-			if at > len(buf) {
-				return 0, at, ErrIncomplete
+			if offset > len(buf) {
+				return 0, offset, ErrIncomplete
 			}
-			if size >= 0 && (buf[at-2] != '\r' || buf[at-1] != '\n') {
+			if size >= 0 && (buf[offset-2] != '\r' || buf[offset-1] != '\n') {
 				return 0, 0, ProtocolError("bulk string not ended by CRLF")
 			}
 		case '*', '~', '>', '%', '|':
-			size, ok := number(head[1:])
+			size, ok := parseInteger(header[1:])
 			if !ok || size < -1 {
 				return 0, 0, ProtocolError("invalid multibulk length")
 			}
 			children = max(size, 0)
-			if children > elements {
+			if children > elementsLeft {
 				return 0, 0, ProtocolError("too many elements")
 			}
 			if kind == '%' || kind == '|' {
 				children *= 2
 			}
-			if elements -= children; elements < 0 {
+			if elementsLeft -= children; elementsLeft < 0 {
 				return 0, 0, ProtocolError("too many elements")
 			}
-			attribute, at = kind == '|', next
+			attribute, offset = kind == '|', next
 		default:
 			return 0, 0, ProtocolError("unknown reply type '" + printable(kind) + "'")
 		}
@@ -252,30 +252,30 @@
 			children++ // the reply that the attribute belongs to follows
 		}
 		if children > 0 {
-			if depth >= min(lim.Depth, len(open)) {
+			if depth >= min(lim.Depth, len(levels)) {
 				return 0, 0, ProtocolError("reply nested too deeply")
 			}
-			open[depth] = children
+			levels[depth] = children
 			depth++
 			continue
 		}
 		for depth > 0 {
-			if open[depth-1]--; open[depth-1] > 0 {
+			if levels[depth-1]--; levels[depth-1] > 0 {
 				break
 			}
 			depth--
 		}
 		if depth == 0 {
-			return at, 0, nil
+			return offset, 0, nil
 		}
 	}
 }
 
-// Unprocessed returns the unprocessed input to keep until more arrives, after the first used bytes of src were processed. held is the
-// input kept so far. If it is not empty, src must be the same slice; otherwise src is only valid during the call, and the rest is
-// copied to a new slice with a capacity of at least room bytes. If nothing is left the result is nil, so that an idle connection
-// occupies no memory.
-func Unprocessed(held, src []byte, used, room int) []byte {
+// Unprocessed returns the input to keep until more arrives, after the first used bytes of src were processed. held is the input
+// kept so far. If it is not empty, src must be the same slice; otherwise src is only valid during the call, and the rest is
+// copied to a new slice with a capacity of at least minCap bytes. If nothing is left the result is nil, so that an idle
+// connection occupies no memory.
+func Unprocessed(held, src []byte, used, minCap int) []byte {
 	rest := src[used:]
 	switch {
 	case len(rest) == 0:
@@ -285,7 +285,7 @@
 	case len(held) > 0:
 		return held
 	}
-	return append(make([]byte, 0, max(len(rest), room)), rest...)
+	return append(make([]byte, 0, max(len(rest), minCap)), rest...)
 }
 
 // SplitAttribute splits a complete reply into its leading attribute, nil if there is none, and the rest.
@@ -293,50 +293,51 @@
 	if len(reply) == 0 || reply[0] != '|' {
 		return nil, reply
 	}
-	head, at, err := line(reply, 0, lim.Inline)
+	header, offset, err := readLine(reply, 0, lim.Inline)
 	if err != nil {
 		return nil, reply
 	}
-	pairs, ok := number(head[1:])
+	pairs, ok := parseInteger(header[1:])
 	if !ok || pairs < 0 {
 		return nil, reply
 	}
 	for range 2 * pairs {
-		n, err := ReplyLength(reply[at:], lim)
+		n, err := ReplyLength(reply[offset:], lim)
 		if err != nil {
 			return nil, reply
 		}
-		at += n
+		offset += n
 	}
-	return reply[:at], reply[at:]
+	return reply[:offset], reply[offset:]
 }
 
-// ElementTexts returns the elements of an aggregate as text. It is meant for strings and numbers; nested aggregates are not decoded.
-func ElementTexts(agg []byte, lim Limits) []string {
-	head, at, err := line(agg, 0, lim.Inline)
-	if err != nil || len(head) == 0 {
+// ElementTexts returns the elements of an aggregate as text. It is meant for strings and numbers; nested aggregates are not
+// decoded.
+func ElementTexts(aggregate []byte, lim Limits) []string {
+	header, offset, err := readLine(aggregate, 0, lim.Inline)
+	if err != nil || len(header) == 0 {
 		return nil
 	}
 	var out []string
-	for at < len(agg) {
-		n, err := ReplyLength(agg[at:], lim)
+	for offset < len(aggregate) {
+		n, err := ReplyLength(aggregate[offset:], lim)
 		if err != nil {
 			return out
 		}
-		out = append(out, Text(agg[at:at+n], lim))
-		at += n
+		out = append(out, Text(aggregate[offset:offset+n], lim))
+		offset += n
 	}
 	return out
 }
 
 // Text returns the content of a reply that is a string or number, without its header and line ends.
 func Text(reply []byte, lim Limits) string {
-	head, next, err := line(reply, 0, lim.Inline)
-	if err != nil || len(head) == 0 {
+	header, next, err := readLine(reply, 0, lim.Inline)
+	if err != nil || len(header) == 0 {
 		return ""
 	}
-	if head[0] != '$' && head[0] != '=' && head[0] != '!' {
-		return string(head[1:])
+	if header[0] != '$' && header[0] != '=' && header[0] != '!' {
+		return string(header[1:])
 	}
 	if len(reply) < next+2 {
 		return ""
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func parse(s string, lim Limits) (string, int, error) {
+func parseWords(s string, lim Limits) (string, int, error) {
 	args, n, _, err := ParseCommand([]byte(s), nil, lim)
 	var words []string
 	for _, a := range args {
@@ -16,7 +16,7 @@
 	return strings.Join(words, " "), n, err
 }
 
-func TestCommand(t *testing.T) {
+func TestParseCommand(t *testing.T) {
 	lim := Limits{Bulk: 20, Args: 3, Inline: 40, Depth: 2}
 	for _, c := range []struct {
 		in, want string
@@ -47,7 +47,7 @@
 		{"ECHO \"a\r\n", "", 0, "unbalanced quotes"},
 		{"ECHO \"a\"b\r\n", "", 0, "unbalanced quotes"},
 	} {
-		got, n, err := parse(c.in, lim)
+		got, n, err := parseWords(c.in, lim)
 		if c.err != "" {
 			if err == nil || !strings.Contains(err.Error(), c.err) {
 				t.Errorf("%q: error %v, want %q", c.in, err, c.err)
@@ -59,7 +59,7 @@
 }
 
 // A command is complete only when all of it has arrived, wherever it is split, and need never exceeds its length.
-func TestCommandInPieces(t *testing.T) {
+func TestIncompleteCommand(t *testing.T) {
 	whole := AppendCommand(nil, "SIGN.SUBMIT", "key-1", strings.Repeat("x", 300))
 	for i := range whole {
 		_, n, need, err := ParseCommand(whole[:i], nil, DefaultLimits)
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestDowngrade(t *testing.T) {
+func TestAppendDowngraded(t *testing.T) {
 	for in, want := range map[string]string{
 		"+OK\r\n": "+OK\r\n", "_\r\n": "$-1\r\n", "#t\r\n": ":1\r\n", "#f\r\n": ":0\r\n", ",1.5\r\n": "$3\r\n1.5\r\n",
 		"%1\r\n+a\r\n~1\r\n_\r\n": "*2\r\n+a\r\n*1\r\n$-1\r\n", "=7\r\ntxt:abc\r\n": "$3\r\nabc\r\n",
@@ -108,9 +108,9 @@
 	}
 }
 
-// FuzzCommand checks that no input makes the parser panic or consume more than it was given, and that a parsed command is
+// FuzzParseCommand checks that no input makes the parser panic or consume more than it was given, and that a parsed command is
 // parsed in the same way after it was written again.
-func FuzzCommand(f *testing.F) {
+func FuzzParseCommand(f *testing.F) {
 	for _, s := range []string{"*2\r\n$4\r\nECHO\r\n$2\r\nhi\r\n", "PING\r\n", "ECHO 'a b' \"\\n\"\r\n", "*1\r\n$99999\r\n", "*-1\r\n", "\x00\n"} {
 		f.Add([]byte(s))
 	}
@@ -132,7 +132,7 @@
 	})
 }
 
-func BenchmarkCommand(b *testing.B) {
+func BenchmarkParseCommand(b *testing.B) {
 	buf := AppendCommand(nil, "CL.THROTTLE", "user:1", "15", "30", "60", "1")
 	var args [][]byte
 	b.SetBytes(int64(len(buf)))
--- a/internal/resp/write.go
+++ b/internal/resp/write.go
@@ -15,27 +15,27 @@
 func AppendArgs(dst []byte, args [][]byte) []byte {
 	dst = AppendArrayHeader(dst, len(args))
 	for _, a := range args {
-		dst = appendHead(dst, '$', len(a))
+		dst = appendHeader(dst, '$', len(a))
 		dst = append(append(dst, a...), '\r', '\n')
 	}
 	return dst
 }
 
-// appendHead appends a header: the type and a number.
-func appendHead(dst []byte, kind byte, n int) []byte {
+// appendHeader appends a header: the type and a number.
+func appendHeader(dst []byte, kind byte, n int) []byte {
 	dst = strconv.AppendInt(append(dst, kind), int64(n), 10)
 	return append(dst, '\r', '\n')
 }
 
 // AppendArrayHeader appends the header of an array of n elements, which the caller appends next.
-func AppendArrayHeader(dst []byte, n int) []byte { return appendHead(dst, '*', n) }
+func AppendArrayHeader(dst []byte, n int) []byte { return appendHeader(dst, '*', n) }
 
 // AppendMapHeader appends the header of a map of n pairs, which in version 2 is an array of 2*n elements.
 func AppendMapHeader(dst []byte, version, n int) []byte {
 	if version < 3 {
-		return appendHead(dst, '*', 2*n)
+		return appendHeader(dst, '*', 2*n)
 	}
-	return appendHead(dst, '%', n)
+	return appendHeader(dst, '%', n)
 }
 
 // AppendInt appends an integer.
@@ -45,7 +45,7 @@
 
 // AppendBulk appends a bulk string, which may contain any bytes.
 func AppendBulk(dst []byte, s string) []byte {
-	dst = appendHead(dst, '$', len(s))
+	dst = appendHeader(dst, '$', len(s))
 	return append(append(dst, s...), '\r', '\n')
 }
 
@@ -80,21 +80,21 @@
 // numbers, verbatim strings and bulk errors become the closest type of version 2; attributes are omitted.
 func AppendDowngraded(dst, reply []byte, lim Limits) []byte {
 	_, reply = SplitAttribute(reply, lim)
-	head, at, err := line(reply, 0, lim.Inline)
-	if err != nil || len(head) == 0 {
+	header, offset, err := readLine(reply, 0, lim.Inline)
+	if err != nil || len(header) == 0 {
 		return append(dst, reply...)
 	}
-	switch head[0] {
+	switch header[0] {
 	case '_':
 		return append(dst, "$-1\r\n"...)
 	case '#':
 		n := int64(0)
-		if len(head) > 1 && head[1] == 't' {
+		if len(header) > 1 && header[1] == 't' {
 			n = 1
 		}
 		return AppendInt(dst, n)
 	case ',', '(':
-		return AppendBulk(dst, string(head[1:]))
+		return AppendBulk(dst, string(header[1:]))
 	case '=':
 		if text := Text(reply, lim); len(text) >= 4 {
 			return AppendBulk(dst, text[4:]) // without the format, such as "txt:"
@@ -103,21 +103,21 @@
 	case '!':
 		return AppendError(dst, Text(reply, lim))
 	case '*', '~', '>', '%':
-		n, _ := number(head[1:])
+		n, _ := parseInteger(header[1:])
 		if n < 0 {
 			return append(dst, reply...)
 		}
-		if head[0] == '%' {
+		if header[0] == '%' {
 			n *= 2
 		}
-		dst = appendHead(dst, '*', n)
+		dst = appendHeader(dst, '*', n)
 		for range n {
-			size, err := ReplyLength(reply[at:], lim)
+			size, err := ReplyLength(reply[offset:], lim)
 			if err != nil {
 				return dst
 			}
-			dst = AppendDowngraded(dst, reply[at:at+size], lim)
-			at += size
+			dst = AppendDowngraded(dst, reply[offset:offset+size], lim)
+			offset += size
 		}
 		return dst
 	}
