--- a/internal/front/closing.go
+++ b/internal/front/closing.go
@@ -15,168 +15,170 @@
 
 // Times since the beginning of a shutdown.
 const (
-	partLeast = 50 * time.Millisecond  // until connections with an incomplete command are closed, too
-	partMost  = 100 * time.Millisecond // until it no longer waits for clients to close
+	incompleteGrace = 50 * time.Millisecond  // until connections with an incomplete command are closed, too
+	shutdownTimeout = 100 * time.Millisecond // until it no longer waits for clients to close
 )
 
-// part closes all connections gracefully: at first those without open requests, and after partLeast those with an incomplete
-// command, too. It returns when all clients have closed, after partMost, or when ctx is done.
-func (srv *Server) part(ctx context.Context) {
+// closeAll closes all connections gracefully: at first those without open requests, and after incompleteGrace those with an
+// incomplete command, too. It returns when all clients have closed, after shutdownTimeout, or when ctx is done.
+func (srv *Server) closeAll(ctx context.Context) {
 	srv.CloseWhenIdle()
 	start := time.Now()
-	for srv.open.Load() > 0 && time.Since(start) < partMost {
+	for srv.open.Load() > 0 && time.Since(start) < shutdownTimeout {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(5 * time.Millisecond):
 		}
-		last := time.Since(start) > partLeast
-		srv.each(func(l *loop) { l.part(last) })
+		includeIncomplete := time.Since(start) > incompleteGrace
+		srv.onEachLoop(func(loop *connLoop) { loop.closeIdle(includeIncomplete) })
 	}
 }
 
-// part closes the loop's connections that are idle, and with last also others that wait for no reply.
-func (l *loop) part(last bool) {
-	for k := range l.conns {
-		if k.idle() && !k.c.Unread() || last && !k.parked && k.waiting() == 0 {
-			l.act(k, l.finish(k, shuttingDown))
+// closeIdle closes the loop's connections that are idle, and with includeIncomplete also others that wait for no reply.
+func (loop *connLoop) closeIdle(includeIncomplete bool) {
+	for conn := range loop.conns {
+		if conn.idle() && !conn.socket.Unread() || includeIncomplete && !conn.readingPaused && conn.pendingCount() == 0 {
+			loop.apply(conn, loop.closeGracefully(conn, shuttingDown))
 		}
 	}
 }
 
-// lost removes a closed connection and reports its unanswered calls to the core, which need no answers any more.
-func (l *loop) lost(k *conn) {
-	s := l.s
-	s.open.Add(^uint64(0))
-	k.closed = true
-	delete(l.conns, k)
-	l.lingered(k)
-	if k.strange > 0 || k.granted > 0 || k.waits {
-		s.leave(k)
-	}
-	var gone []*core.Call
-	for _, p := range k.queue[k.head:] {
-		if p.call.Front != nil && !p.done {
-			gone = append(gone, &p.call)
+// removeConn removes a closed connection and reports its unanswered calls to the core, which need no answers any more.
+func (loop *connLoop) removeConn(conn *clientConn) {
+	srv := loop.server
+	srv.open.Add(^uint64(0))
+	conn.closed = true
+	delete(loop.conns, conn)
+	loop.removeLingering(conn)
+	if conn.bytesBeforeLogin > 0 || conn.grantedBytes > 0 || conn.awaitingMemory {
+		srv.removeFromPool(conn)
+	}
+	var unanswered []*core.Call
+	for _, command := range conn.pending[conn.firstPending:] {
+		if command.call.Front != nil && !command.done {
+			unanswered = append(unanswered, &command.call)
 		}
 	}
-	k.report(gone)
-	if len(gone) > 0 {
-		s.core.Gone(gone)
+	conn.logClose(unanswered)
+	if len(unanswered) > 0 {
+		srv.core.Gone(unanswered)
 	}
-	k.queue, k.head, k.in = nil, 0, nil
+	conn.pending, conn.firstPending, conn.input = nil, 0, nil
 }
 
 // sweep closes connections whose command has been incomplete for too long, that have not logged in for too long, that have
 // been idle for too long, or that have lingered for too long.
-func (l *loop) sweep() {
-	now, most := time.Now(), l.s.opt.Limits.Partial
-	for len(l.lingering) > 0 && l.lingering[0].lingerTo < seconds() {
-		l.hurry()
-	}
-	open, leaves := int(l.s.open.Load()), l.s.opt.IdleLimits.Leaves
-	if l.s.retiring.Load() {
-		leaves = l.s.opt.IdleLimits.Retires
-	}
-	for k := range l.conns {
-		slow := !k.partial.IsZero() && now.Sub(k.partial) > most && !k.waits || k.client == nil && now.Sub(k.since) > most
+func (loop *connLoop) sweep() {
+	now, maxWait := time.Now(), loop.server.options.Limits.Partial
+	for len(loop.lingering) > 0 && loop.lingering[0].lingerUntil < nowS() {
+		loop.closeOldestLingering()
+	}
+	openConns, expired := int(loop.server.open.Load()), loop.server.options.IdleLimits.Leaves
+	if loop.server.closingIdle.Load() {
+		expired = loop.server.options.IdleLimits.Retires
+	}
+	for conn := range loop.conns {
+		overdue := !conn.incompleteSince.IsZero() && now.Sub(conn.incompleteSince) > maxWait && !conn.awaitingMemory ||
+			conn.client == nil && now.Sub(conn.openedAt) > maxWait
 		switch {
-		case k.lingers || k.quit:
-		case slow && !k.parked && !k.congested:
-			l.s.cut.Add(1)
-			k.because(unfinishedCommand)
-			k.leaves() // replies to earlier commands are still written
-		case k.idle() && leaves(k.guest, seconds(), open) && !k.c.Unread():
-			l.act(k, l.finish(k, idleTooLong))
+		case conn.lingering || conn.closing:
+		case overdue && !conn.readingPaused && !conn.congested:
+			loop.server.terminated.Add(1)
+			conn.setReason(incompleteCommand)
+			conn.closeAfterReplies() // replies to earlier commands are still written
+		case conn.idle() && expired(conn.usage, nowS(), openConns) && !conn.socket.Unread():
+			loop.apply(conn, loop.closeGracefully(conn, idleTooLong))
 		}
 	}
 }
 
 // idle reports whether a connection is settled and no command has begun to arrive.
-func (k *conn) idle() bool { return k.settled() && len(k.in) == 0 }
+func (conn *clientConn) idle() bool { return conn.settled() && len(conn.input) == 0 }
 
 // settled reports whether all commands of a connection have their replies, and the system has accepted these.
-func (k *conn) settled() bool {
-	return !k.parked && k.waiting() == 0 && len(k.out) == 0 && !k.quit && !k.lingers
+func (conn *clientConn) settled() bool {
+	return !conn.readingPaused && conn.pendingCount() == 0 && len(conn.unsent) == 0 && !conn.closing && !conn.lingering
 }
 
 // evict closes an idle connection to make room for a new one, and reports whether there was one.
-func (l *loop) evict() bool {
-	var out *conn
-	now, crowd := seconds(), l.s.opt.IdleLimits
-	for k := range l.conns {
-		k.guest.Begun = len(k.in) > 0
-		if k.settled() && (!k.guest.Begun || k.guest.Asked == 0) && crowd.Evictable(k.guest, now) &&
-			(out == nil || crowd.Before(k.guest, out.guest)) {
-			out = k
+func (loop *connLoop) evict() bool {
+	var candidate *clientConn
+	now, idleLimits := nowS(), loop.server.options.IdleLimits
+	for conn := range loop.conns {
+		conn.usage.Begun = len(conn.input) > 0
+		if conn.settled() && (!conn.usage.Begun || conn.usage.Asked == 0) && idleLimits.Evictable(conn.usage, now) &&
+			(candidate == nil || idleLimits.Before(conn.usage, candidate.usage)) {
+			candidate = conn
 		}
 	}
-	if out == nil {
+	if candidate == nil {
 		return false
 	}
-	l.s.evicted.Add(1)
-	if l.act(out, l.finish(out, evictedForOther)); !out.closed && out.guest.Asked == 0 {
-		l.cut(out, evictedForOther) // nothing was sent that a reset could destroy
+	loop.server.evicted.Add(1)
+	if loop.apply(candidate, loop.closeGracefully(candidate, evictedForNew)); !candidate.closed && candidate.usage.Asked == 0 {
+		loop.closeConn(candidate, evictedForNew) // nothing was sent that a reset could destroy
 	}
 	return true
 }
 
 // Limits of a lingering close.
 const (
-	lingerS     = 1.0       // duration in seconds
-	lingerBytes = 256 << 10 // bytes of input discarded
-	lingerShare = 8         // the maximum number of lingering connections is the connection limit divided by this
+	maxLingerS     = 1.0       // duration in seconds
+	maxLingerBytes = 256 << 10 // bytes of input discarded
+	lingerDivisor  = 8         // the maximum number of lingering connections is the connection limit divided by this
 )
 
-// finish starts a lingering close of a connection without open requests. It closes the sending side at once, and the rest
-// when the client has closed, too; input that arrives meanwhile is discarded. If the socket were closed at once, unread input
-// would reset the connection and destroy replies that are on their way. A request that arrives after this point is never
-// processed, so its client can safely send it again elsewhere.
-func (l *loop) finish(k *conn, reason closeReason) eventloop.Action {
-	if k.lingers {
+// closeGracefully starts a lingering close of a connection without open requests. It closes the sending side at once, and the
+// rest when the client has closed, too; input that arrives meanwhile is discarded. If the socket were closed at once, unread
+// input would reset the connection and destroy replies that are on their way. A request that arrives after this point is
+// never processed, so its client can safely send it again elsewhere.
+func (loop *connLoop) closeGracefully(conn *clientConn, reason closeReason) eventloop.Action {
+	if conn.lingering {
 		return eventloop.None
 	}
-	k.because(reason)
-	if k.c.CloseWrite() != nil {
+	conn.setReason(reason)
+	if conn.socket.CloseWrite() != nil {
 		return eventloop.Close
 	}
-	if k.strange > 0 || k.granted > 0 || k.waits {
-		l.s.leave(k)
-		k.strange, k.granted, k.waits = 0, 0, false
+	if conn.bytesBeforeLogin > 0 || conn.grantedBytes > 0 || conn.awaitingMemory {
+		loop.server.removeFromPool(conn)
+		conn.bytesBeforeLogin, conn.grantedBytes, conn.awaitingMemory = 0, 0, false
 	}
-	if k.parked {
-		k.parked = false
-		k.c.ResumeReading() // to notice when the client closes
+	if conn.readingPaused {
+		conn.readingPaused = false
+		conn.socket.ResumeReading() // to notice when the client closes
 	}
-	k.lingers, k.in, k.partial, k.lingerTo = true, nil, time.Time{}, seconds()+lingerS
-	l.s.lingering.Add(1)
-	l.lingering = append(l.lingering, k)
+	conn.lingering, conn.input, conn.incompleteSince, conn.lingerUntil = true, nil, time.Time{}, nowS()+maxLingerS
+	loop.server.lingering.Add(1)
+	loop.lingering = append(loop.lingering, conn)
 	// During a shutdown there are no new connections that would need the descriptors.
-	for most := max(1, l.s.opt.Limits.Connections/lingerShare); len(l.lingering) > most && !l.s.retiring.Load(); {
-		l.hurry()
+	for maxLingering := max(1, loop.server.options.Limits.Connections/lingerDivisor); len(loop.lingering) > maxLingering &&
+		!loop.server.closingIdle.Load(); {
+		loop.closeOldestLingering()
 	}
 	return eventloop.None
 }
 
-// hurry closes the connection that has lingered the longest, without waiting for its client.
-func (l *loop) hurry() {
-	k := l.lingering[0]
-	l.lingered(k)
-	l.cut(k, lingeredTooLong)
+// closeOldestLingering closes the connection that has lingered the longest, without waiting for its client.
+func (loop *connLoop) closeOldestLingering() {
+	conn := loop.lingering[0]
+	loop.removeLingering(conn)
+	loop.closeConn(conn, lingerExceeded)
 }
 
-// lingered removes a connection from the list of those in a lingering close.
-func (l *loop) lingered(k *conn) {
-	if i := slices.Index(l.lingering, k); i >= 0 {
-		l.lingering = slices.Delete(l.lingering, i, i+1)
-		l.s.lingering.Add(-1)
+// removeLingering removes a connection from the list of those in a lingering close.
+func (loop *connLoop) removeLingering(conn *clientConn) {
+	if i := slices.Index(loop.lingering, conn); i >= 0 {
+		loop.lingering = slices.Delete(loop.lingering, i, i+1)
+		loop.server.lingering.Add(-1)
 	}
 }
 
-// leaves closes the connection once its commands have their replies. No more input is processed.
-func (k *conn) leaves() {
-	k.quit, k.partial = true, time.Time{}
-	k.loop.act(k, k.pump())
+// closeAfterReplies closes the connection once its commands have their replies. No more input is processed.
+func (conn *clientConn) closeAfterReplies() {
+	conn.closing, conn.incompleteSince = true, time.Time{}
+	conn.loop.apply(conn, conn.writeReplies())
 }
 
 // closeReason is why a client's connection was closed. The values are written to the log.
@@ -186,55 +188,55 @@
 	clientClosed      closeReason = "client closed"
 	connectionBroken  closeReason = "connection broken"
 	writeFailed       closeReason = "write failed"
-	answersUnread     closeReason = "answers not read in time"
-	badInput          closeReason = "input against the protocol"
-	unfinishedCommand closeReason = "command not finished in time"
-	asked             closeReason = "the client asked for it"
+	repliesUnread     closeReason = "answers not read in time"
+	protocolViolation closeReason = "input against the protocol"
+	incompleteCommand closeReason = "command not finished in time"
+	closeRequested    closeReason = "the client asked for it"
 	idleTooLong       closeReason = "idle"
-	evictedForOther   closeReason = "evicted for a new connection"
-	lingeredTooLong   closeReason = "client did not close in time"
+	evictedForNew     closeReason = "evicted for a new connection"
+	lingerExceeded    closeReason = "client did not close in time"
 	shuttingDown      closeReason = "shutting down"
 )
 
-// because records why a connection is about to be closed; only the first reason counts.
-func (k *conn) because(r closeReason) {
-	if k.reason == "" {
-		k.reason = r
+// setReason records why a connection is about to be closed; only the first reason counts.
+func (conn *clientConn) setReason(reason closeReason) {
+	if conn.reason == "" {
+		conn.reason = reason
 	}
 }
 
-// ended records why a connection was closed, unless this side closed it and has recorded a reason already.
-func (k *conn) ended(err error) {
+// recordClose records why a connection was closed, unless this side closed it and has recorded a reason already.
+func (conn *clientConn) recordClose(err error) {
 	switch {
 	case err == nil || errors.Is(err, eventloop.ErrStopped):
-		k.because(shuttingDown) // all other closes by this side have recorded a reason
+		conn.setReason(shuttingDown) // all other closes by this side have recorded a reason
 	case errors.Is(err, io.EOF):
-		k.because(clientClosed)
+		conn.setReason(clientClosed)
 	default:
-		k.because(connectionBroken)
-		k.endError = err
+		conn.setReason(connectionBroken)
+		conn.closeError = err
 	}
 }
 
-// report logs the end of a connection, with the ids of the requests that had no answer. If there are any and it was not the
+// logClose logs the end of a connection, with the ids of the requests that had no answer. If there are any and it was not the
 // client that disconnected, the level is warning.
-func (k *conn) report(open []*core.Call) {
+func (conn *clientConn) logClose(unanswered []*core.Call) {
 	level := zerolog.DebugLevel
-	if len(open) > 0 && k.reason != clientClosed && k.reason != connectionBroken {
+	if len(unanswered) > 0 && conn.reason != clientClosed && conn.reason != connectionBroken {
 		level = zerolog.WarnLevel
-		k.loop.s.abandoned.Add(uint64(len(open)))
+		conn.loop.server.abandoned.Add(uint64(len(unanswered)))
 	}
-	line := k.loop.s.opt.Log.WithLevel(level)
-	if !line.Enabled() {
+	event := conn.loop.server.options.Log.WithLevel(level)
+	if !event.Enabled() {
 		return
 	}
-	names := zerolog.Arr()
-	for _, c := range open[:min(len(open), reportedMost)] {
-		names.Str(c.ID)
+	ids := zerolog.Arr()
+	for _, call := range unanswered[:min(len(unanswered), maxLoggedIDs)] {
+		ids.Str(call.ID)
 	}
-	line.Uint64("connection", k.id).Str("reason", string(k.reason)).AnErr("error", k.endError).
-		Int("open_requests", len(open)).Array("ids", names).Msg("client connection ended")
+	event.Uint64("connection", conn.id).Str("reason", string(conn.reason)).AnErr("error", conn.closeError).
+		Int("open_requests", len(unanswered)).Array("ids", ids).Msg("client connection ended")
 }
 
-// reportedMost limits the number of request ids in one log line.
-const reportedMost = 16
+// maxLoggedIDs limits the number of request ids in one log line.
+const maxLoggedIDs = 16
--- a/internal/front/command.go
+++ b/internal/front/command.go
@@ -8,22 +8,22 @@
 	"cometpond/internal/resp"
 )
 
-// throttle handles CL.THROTTLE key max_burst count_per_period period [quantity], which asks the core for quota units without
-// a request to a server.
-func (k *conn) throttle(args [][]byte) {
+// handleThrottle handles CL.THROTTLE key max_burst count_per_period period [quantity], which takes units of the client's quota
+// without a request to a server.
+func (conn *clientConn) handleThrottle(args [][]byte) {
 	if len(args) != 5 && len(args) != 6 {
-		k.arity(args[0])
+		conn.replyArityError(args[0])
 		return
 	}
 	quantity := int64(1)
-	for i, least := range []int64{0, 1, 1, 0} {
+	for i, minimum := range []int64{0, 1, 1, 0} {
 		if i+2 == len(args) {
 			break
 		}
 		n, err := strconv.ParseInt(string(args[i+2]), 10, 64)
-		if err != nil || n < least {
+		if err != nil || n < minimum {
 			name := []string{"max_burst", "count_per_period", "period", "quantity"}[i]
-			k.fail("ERR " + name + " is no whole number of " + strconv.FormatInt(least, 10) + " or more")
+			conn.replyError("ERR " + name + " is no whole number of " + strconv.FormatInt(minimum, 10) + " or more")
 			return
 		}
 		quantity = n
@@ -31,119 +31,119 @@
 	if len(args) == 5 {
 		quantity = 1
 	}
-	if most := k.loop.s.opt.Registry.MaxUnits(); quantity > int64(most) {
-		k.fail("ERR quantity is above " + strconv.Itoa(most) + ", the most of one request")
+	if maxUnits := conn.loop.server.options.Registry.MaxUnits(); quantity > int64(maxUnits) {
+		conn.replyError("ERR quantity is above " + strconv.Itoa(maxUnits) + ", the most of one request")
 		return
 	}
-	book := k.loop.s.opt.Registry
-	k.ask(book.LimitCall(k.client, book.ThrottleClass(), float64(quantity)))
+	registry := conn.loop.server.options.Registry
+	conn.enqueueCall(registry.LimitCall(conn.client, registry.ThrottleClass(), float64(quantity)))
 }
 
-// noAuth is the reply to commands that need a login.
-const noAuth = "NOAUTH Authentication required."
+// noAuthError is the reply to commands that need a login.
+const noAuthError = "NOAUTH Authentication required."
 
-// command handles one command. Those about the connection itself are handled here, all others are submitted to the core.
-func (k *conn) command(args [][]byte) {
-	name := upper(args[0])
+// handleCommand handles one command. Those about the connection itself are handled here, all others are submitted to the core.
+func (conn *clientConn) handleCommand(args [][]byte) {
+	name := upperCase(args[0])
 	switch string(name) { // allowed before login
 	case "HELLO":
-		k.hello(args)
+		conn.handleHello(args)
 		return
 	case "AUTH":
-		k.auth(args)
+		conn.handleAuth(args)
 		return
 	case "QUIT":
-		k.quit = true
-		k.say(ok)
+		conn.closing = true
+		conn.replyWith(appendOK)
 		return
 	case "RESET":
-		k.client, k.name, k.version = nil, "", 2
-		k.say(func(b []byte) []byte { return resp.AppendSimple(b, "RESET") })
+		conn.client, conn.name, conn.respVersion = nil, "", 2
+		conn.replyWith(func(b []byte) []byte { return resp.AppendSimple(b, "RESET") })
 		return
 	}
-	if k.client == nil {
-		k.fail(noAuth)
+	if conn.client == nil {
+		conn.replyError(noAuthError)
 		return
 	}
 	if string(name) == "CL.THROTTLE" {
-		k.throttle(args)
+		conn.handleThrottle(args)
 		return
 	}
-	if call, known, err := k.loop.s.opt.Registry.ParseCommand(k.client, args); err != nil {
-		k.fail("ERR " + err.Error())
+	if call, known, err := conn.loop.server.options.Registry.ParseCommand(conn.client, args); err != nil {
+		conn.replyError("ERR " + err.Error())
 		return
 	} else if known {
-		k.ask(call)
+		conn.enqueueCall(call)
 		return
 	}
 	switch string(name) {
 	case "PING":
 		switch len(args) {
 		case 1:
-			k.say(func(b []byte) []byte { return append(b, "+PONG\r\n"...) })
+			conn.replyWith(func(b []byte) []byte { return append(b, "+PONG\r\n"...) })
 		case 2:
-			k.bulk(args[1])
+			conn.replyBulk(args[1])
 		default:
-			k.arity(args[0])
+			conn.replyArityError(args[0])
 		}
 	case "ECHO":
 		if len(args) != 2 {
-			k.arity(args[0])
+			conn.replyArityError(args[0])
 			return
 		}
-		k.bulk(args[1])
+		conn.replyBulk(args[1])
 	case "SELECT":
 		switch {
 		case len(args) != 2:
-			k.arity(args[0])
+			conn.replyArityError(args[0])
 		case string(args[1]) != "0":
-			k.fail("ERR DB index is out of range")
+			conn.replyError("ERR DB index is out of range")
 		default:
-			k.say(ok)
+			conn.replyWith(appendOK)
 		}
 	case "CLIENT":
-		k.clientCommand(args)
+		conn.handleClient(args)
 	case "COMMAND":
-		k.commands(args)
+		conn.handleCommandInfo(args)
 	case "INFO":
 		text := ""
-		if k.loop.s.opt.Info != nil {
-			text = k.loop.s.opt.Info()
+		if conn.loop.server.options.Info != nil {
+			text = conn.loop.server.options.Info()
 		}
-		k.bulk([]byte(text))
+		conn.replyBulk([]byte(text))
 	default:
-		var with strings.Builder
-		for _, a := range args[1:min(len(args), 5)] {
-			with.WriteString("'" + clip(a) + "' ")
+		var quoted strings.Builder
+		for _, arg := range args[1:min(len(args), 5)] {
+			quoted.WriteString("'" + truncate(arg) + "' ")
 		}
-		k.fail("ERR unknown command '" + clip(args[0]) + "', with args beginning with: " + with.String())
+		conn.replyError("ERR unknown command '" + truncate(args[0]) + "', with args beginning with: " + quoted.String())
 	}
 }
 
-// ok appends the reply OK.
-func ok(b []byte) []byte { return append(b, "+OK\r\n"...) }
+// appendOK appends the reply OK.
+func appendOK(b []byte) []byte { return append(b, "+OK\r\n"...) }
 
-// bulk replies with a bulk string.
-func (k *conn) bulk(s []byte) {
+// replyBulk replies with a bulk string.
+func (conn *clientConn) replyBulk(s []byte) {
 	text := string(s) // a copy, as s points into the input buffer
-	k.say(func(b []byte) []byte { return resp.AppendBulk(b, text) })
+	conn.replyWith(func(b []byte) []byte { return resp.AppendBulk(b, text) })
 }
 
-// arity replies that a command has the wrong number of arguments.
-func (k *conn) arity(name []byte) {
-	k.fail("ERR " + access.WrongArity(name).Error())
+// replyArityError replies that a command has the wrong number of arguments.
+func (conn *clientConn) replyArityError(name []byte) {
+	conn.replyError("ERR " + access.WrongArity(name).Error())
 }
 
-// clip returns as much of an argument as error messages quote.
-func clip(b []byte) string {
+// truncate returns as much of an argument as error messages quote.
+func truncate(b []byte) string {
 	if len(b) > 64 {
 		b = b[:64]
 	}
 	return string(b)
 }
 
-// upper converts ASCII letters to upper case, in place.
-func upper(b []byte) []byte {
+// upperCase converts ASCII letters to upper case, in place.
+func upperCase(b []byte) []byte {
 	for i, c := range b {
 		if c >= 'a' && c <= 'z' {
 			b[i] = c - 'a' + 'A'
@@ -152,46 +152,46 @@
 	return b
 }
 
-// is reports whether b equals word, ignoring case.
-func is(b []byte, word string) bool { return strings.EqualFold(string(b), word) }
+// equalFold reports whether b equals word, ignoring case.
+func equalFold(b []byte, word string) bool { return strings.EqualFold(string(b), word) }
 
 // login checks a name and a secret. If they are wrong it replies with an error and returns false.
-func (k *conn) login(name, secret []byte) bool {
-	c, ok := k.loop.s.opt.Registry.Login(string(name), string(secret))
+func (conn *clientConn) login(name, secret []byte) bool {
+	client, ok := conn.loop.server.options.Registry.Login(string(name), string(secret))
 	if !ok {
-		k.loop.s.denied.Add(1)
-		k.fail("WRONGPASS invalid username-password pair or user is disabled.")
+		conn.loop.server.loginsDenied.Add(1)
+		conn.replyError("WRONGPASS invalid username-password pair or user is disabled.")
 		return false
 	}
-	k.client = c
+	conn.client = client
 	return true
 }
 
-// auth handles AUTH.
-func (k *conn) auth(args [][]byte) {
+// handleAuth handles AUTH.
+func (conn *clientConn) handleAuth(args [][]byte) {
 	switch len(args) {
 	case 2: // a password alone stands for the default user of Redis, which does not exist here
-		k.fail("WRONGPASS invalid username-password pair or user is disabled.")
+		conn.replyError("WRONGPASS invalid username-password pair or user is disabled.")
 	case 3:
-		if k.login(args[1], args[2]) {
-			k.say(ok)
+		if conn.login(args[1], args[2]) {
+			conn.replyWith(appendOK)
 		}
 	default:
-		k.arity(args[0])
+		conn.replyArityError(args[0])
 	}
 }
 
-// hello handles HELLO.
-func (k *conn) hello(args [][]byte) {
-	version, name := k.version, k.name
+// handleHello handles HELLO.
+func (conn *clientConn) handleHello(args [][]byte) {
+	version, name := conn.respVersion, conn.name
 	rest := args[1:]
 	if len(rest) > 0 {
 		v, err := strconv.Atoi(string(rest[0]))
 		if err != nil {
-			k.fail("ERR Protocol version is not an integer or out of range")
+			conn.replyError("ERR Protocol version is not an integer or out of range")
 			return
 		} else if v != 2 && v != 3 {
-			k.fail("NOPROTO unsupported protocol version")
+			conn.replyError("NOPROTO unsupported protocol version")
 			return
 		}
 		version, rest = v, rest[1:]
@@ -199,42 +199,42 @@
 	var user, secret []byte
 	for len(rest) > 0 {
 		switch {
-		case is(rest[0], "AUTH") && len(rest) >= 3:
+		case equalFold(rest[0], "AUTH") && len(rest) >= 3:
 			user, secret, rest = rest[1], rest[2], rest[3:]
-		case is(rest[0], "SETNAME") && len(rest) >= 2:
-			if !plain(rest[1]) {
-				k.fail("ERR Client names cannot contain spaces, newlines or special characters.")
+		case equalFold(rest[0], "SETNAME") && len(rest) >= 2:
+			if !validClientName(rest[1]) {
+				conn.replyError("ERR Client names cannot contain spaces, newlines or special characters.")
 				return
 			}
 			name, rest = string(rest[1]), rest[2:]
 		default:
-			k.fail("ERR Syntax error in HELLO option '" + clip(rest[0]) + "'")
+			conn.replyError("ERR Syntax error in HELLO option '" + truncate(rest[0]) + "'")
 			return
 		}
 	}
-	if user != nil && !k.login(user, secret) {
+	if user != nil && !conn.login(user, secret) {
 		return
 	}
-	if k.client == nil {
-		k.fail("NOAUTH HELLO must be called with the client already authenticated, otherwise the HELLO <proto> AUTH " +
+	if conn.client == nil {
+		conn.replyError("NOAUTH HELLO must be called with the client already authenticated, otherwise the HELLO <proto> AUTH " +
 			"<user> <pass> option can be used to authenticate the client and select the RESP protocol version at the same time")
 		return
 	}
-	k.version, k.name = version, name
-	k.say(func(b []byte) []byte {
+	conn.respVersion, conn.name = version, name
+	conn.replyWith(func(b []byte) []byte {
 		b = resp.AppendMapHeader(b, version, 7)
 		b = resp.AppendBulk(resp.AppendBulk(b, "server"), "cometpond")
 		b = resp.AppendBulk(resp.AppendBulk(b, "version"), "1.0.0")
 		b = resp.AppendInt(resp.AppendBulk(b, "proto"), int64(version))
-		b = resp.AppendInt(resp.AppendBulk(b, "id"), int64(k.id))
+		b = resp.AppendInt(resp.AppendBulk(b, "id"), int64(conn.id))
 		b = resp.AppendBulk(resp.AppendBulk(b, "mode"), "standalone")
 		b = resp.AppendBulk(resp.AppendBulk(b, "role"), "master")
 		return resp.AppendArrayHeader(resp.AppendBulk(b, "modules"), 0)
 	})
 }
 
-// plain reports whether a client name consists of printable ASCII characters without spaces and is not too long.
-func plain(b []byte) bool {
+// validClientName reports whether a client name consists of printable ASCII characters without spaces and is not too long.
+func validClientName(b []byte) bool {
 	for _, c := range b {
 		if c < '!' || c > '~' {
 			return false
@@ -243,68 +243,69 @@
 	return len(b) <= 256
 }
 
-// clientCommand handles CLIENT.
-func (k *conn) clientCommand(args [][]byte) {
+// handleClient handles CLIENT.
+func (conn *clientConn) handleClient(args [][]byte) {
 	if len(args) < 2 {
-		k.arity(args[0])
+		conn.replyArityError(args[0])
 		return
 	}
 	switch {
-	case is(args[1], "SETNAME") && len(args) == 3:
-		if !plain(args[2]) {
-			k.fail("ERR Client names cannot contain spaces, newlines or special characters.")
+	case equalFold(args[1], "SETNAME") && len(args) == 3:
+		if !validClientName(args[2]) {
+			conn.replyError("ERR Client names cannot contain spaces, newlines or special characters.")
 			return
 		}
-		k.name = string(args[2])
-		k.say(ok)
-	case is(args[1], "SETINFO") && len(args) == 4:
-		if !is(args[2], "LIB-NAME") && !is(args[2], "LIB-VER") {
-			k.fail("ERR Unrecognized option '" + clip(args[2]) + "'")
+		conn.name = string(args[2])
+		conn.replyWith(appendOK)
+	case equalFold(args[1], "SETINFO") && len(args) == 4:
+		if !equalFold(args[2], "LIB-NAME") && !equalFold(args[2], "LIB-VER") {
+			conn.replyError("ERR Unrecognized option '" + truncate(args[2]) + "'")
 			return
 		}
-		k.say(ok)
-	case is(args[1], "ID") && len(args) == 2:
-		k.say(func(b []byte) []byte { return resp.AppendInt(b, int64(k.id)) })
-	case is(args[1], "GETNAME") && len(args) == 2:
-		name := k.name
+		conn.replyWith(appendOK)
+	case equalFold(args[1], "ID") && len(args) == 2:
+		conn.replyWith(func(b []byte) []byte { return resp.AppendInt(b, int64(conn.id)) })
+	case equalFold(args[1], "GETNAME") && len(args) == 2:
+		name := conn.name
 		if name == "" {
-			k.say(func(b []byte) []byte { return resp.AppendNull(b, k.version) })
+			conn.replyWith(func(b []byte) []byte { return resp.AppendNull(b, conn.respVersion) })
 			return
 		}
-		k.say(func(b []byte) []byte { return resp.AppendBulk(b, name) })
+		conn.replyWith(func(b []byte) []byte { return resp.AppendBulk(b, name) })
 	default:
-		k.fail("ERR unknown subcommand or wrong number of arguments for '" + clip(args[1]) + "'. Try CLIENT SETNAME, SETINFO, ID or GETNAME.")
+		conn.replyError("ERR unknown subcommand or wrong number of arguments for '" + truncate(args[1]) +
+			"'. Try CLIENT SETNAME, SETINFO, ID or GETNAME.")
 	}
 }
 
-// own lists the commands that the front handles itself, with the arity that COMMAND reports.
-var own = []struct {
+// ownCommands lists the commands that the front handles itself, with the arity that COMMAND reports.
+var ownCommands = []struct {
 	name  string
 	arity int
 }{{"auth", -2}, {"hello", -1}, {"ping", -1}, {"echo", 2}, {"select", 2}, {"client", -2}, {"command", -1}, {"info", -1},
 	{"reset", 1}, {"quit", -1}, {"cl.throttle", -5}}
 
-// commands handles COMMAND.
-func (k *conn) commands(args [][]byte) {
-	list := k.loop.s.opt.Registry.Commands()
+// handleCommandInfo handles COMMAND.
+func (conn *clientConn) handleCommandInfo(args [][]byte) {
+	commands := conn.loop.server.options.Registry.Commands()
 	switch {
 	case len(args) == 1:
-		k.say(func(b []byte) []byte {
-			b = resp.AppendArrayHeader(b, len(own)+len(list))
-			for _, c := range own {
-				b = appendCommandInfo(b, c.name, c.arity)
+		conn.replyWith(func(b []byte) []byte {
+			b = resp.AppendArrayHeader(b, len(ownCommands)+len(commands))
+			for _, command := range ownCommands {
+				b = appendCommandInfo(b, command.name, command.arity)
 			}
-			for _, c := range list {
-				b = appendCommandInfo(b, strings.ToLower(c.Name), c.Arity)
+			for _, command := range commands {
+				b = appendCommandInfo(b, strings.ToLower(command.Name), command.Arity)
 			}
 			return b
 		})
-	case is(args[1], "COUNT") && len(args) == 2:
-		k.say(func(b []byte) []byte { return resp.AppendInt(b, int64(len(own)+len(list))) })
-	case is(args[1], "DOCS"):
-		k.say(func(b []byte) []byte { return resp.AppendMapHeader(b, k.version, 0) })
+	case equalFold(args[1], "COUNT") && len(args) == 2:
+		conn.replyWith(func(b []byte) []byte { return resp.AppendInt(b, int64(len(ownCommands)+len(commands))) })
+	case equalFold(args[1], "DOCS"):
+		conn.replyWith(func(b []byte) []byte { return resp.AppendMapHeader(b, conn.respVersion, 0) })
 	default:
-		k.fail("ERR unknown subcommand '" + clip(args[1]) + "'. Try COMMAND, COMMAND COUNT or COMMAND DOCS.")
+		conn.replyError("ERR unknown subcommand '" + truncate(args[1]) + "'. Try COMMAND, COMMAND COUNT or COMMAND DOCS.")
 	}
 }
 
--- a/internal/front/commands_test.go
+++ b/internal/front/commands_test.go
@@ -13,71 +13,76 @@
 	"cometpond/internal/resp"
 )
 
-// echo is a command handler that replies to SAY itself and submits all other commands.
-type echo struct{}
+// echoHandler is a command handler that replies to SAY itself and submits all other commands.
+type echoHandler struct{}
 
-func (echo) Limits() resp.Limits {
+func (echoHandler) Limits() resp.Limits {
 	return resp.Limits{Bulk: 100, Args: 3, Inline: 32, Depth: 1, Command: 200, ArraysOnly: true}
 }
 
-func (echo) HandleCommand(c Conn, args [][]byte) {
+func (echoHandler) HandleCommand(conn Conn, args [][]byte) {
 	if string(args[0]) == "SAY" {
-		c.Reply([]byte("+said\r\n"))
+		conn.Reply([]byte("+said\r\n"))
 		return
 	}
-	c.Submit(core.Call{Key: string(args[0]), Payload: append([]byte(nil), args[0]...)})
+	conn.Submit(core.Call{Key: string(args[0]), Payload: append([]byte(nil), args[0]...)})
 }
 
-func (echo) AppendReply(dst []byte, c *core.Call) []byte { return append(dst, c.Answer.Payload...) }
+func (echoHandler) AppendReply(dst []byte, call *core.Call) []byte {
+	return append(dst, call.Answer.Payload...)
+}
 
-// openWorld returns changes of the settings for clients without a login, one event loop and at most so many connections.
-func openWorld(most int) (func(*config.Front), func(*Options)) {
-	return func(f *config.Front) { f.Connections, f.Partial = most, time.Minute },
-		func(o *Options) { o.Handler, o.Loops, o.IdleLimits = echo{}, 1, crowd.Standard(most, 60) }
+// withoutLogin returns changes of the settings for clients without a login, one event loop and at most so many connections.
+func withoutLogin(maxConnections int) (func(*config.Front), func(*Options)) {
+	return func(limits *config.Front) { limits.Connections, limits.Partial = maxConnections, time.Minute },
+		func(options *Options) {
+			options.Handler, options.Loops, options.IdleLimits = echoHandler{}, 1, crowd.Standard(maxConnections, 60)
+		}
 }
 
-// visitor connects a client that does not log in.
-func visitor(t *testing.T, addr string) *raw {
+// dialClient connects a client that does not log in.
+func dialClient(t *testing.T, addr string) *testClient {
 	t.Helper()
-	c, err := dialRaw(addr)
+	conn, err := dial(addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	return &raw{Conn: c, r: bufio.NewReader(c), t: t}
+	t.Cleanup(func() { conn.Close() })
+	return &testClient{Conn: conn, reader: bufio.NewReader(conn), t: t}
 }
 
-// says sends text and expects want, a line, as the reply.
-func (k *raw) says(text, want string) {
-	k.t.Helper()
-	if _, err := k.Write([]byte(text)); err != nil {
-		k.t.Fatal(err)
+// expectLine sends text and expects want, a line, as the reply.
+func (client *testClient) expectLine(text, want string) {
+	client.t.Helper()
+	if _, err := client.Write([]byte(text)); err != nil {
+		client.t.Fatal(err)
 	}
-	line, err := k.r.ReadString('\n')
+	line, err := client.reader.ReadString('\n')
 	if err != nil || line != want {
-		k.t.Fatalf("reply to %q is %q, %v", text, line, err)
+		client.t.Fatalf("reply to %q is %q, %v", text, line, err)
 	}
 }
 
-const say = "*1\r\n$3\r\nSAY\r\n"
+const sayCommand = "*1\r\n$3\r\nSAY\r\n"
 
 // With a command handler no login is needed, and input that is not a command gets one error and the end of the connection.
-func TestCommandsOfAnotherWorld(t *testing.T) {
-	_, _, addr := startWith(t, nil, func(o *Options) { o.Handler = echo{} })
-	k := visitor(t, addr)
-	k.says(say, "+said\r\n")
-	k.says("*1\r\n$2\r\nGO\r\n", "+did GO\r\n")
-	for _, bad := range []string{"SAY\r\n", "\r\n", "*0\r\n", "*-1\r\n", "*4\r\n", "*1\r\n$-1\r\n", "*1\r\n$101\r\n", "*1\r\n$99999999999999999999\r\n",
+func TestCommandHandler(t *testing.T) {
+	_, _, addr := startServerWith(t, nil, func(options *Options) { options.Handler = echoHandler{} })
+	client := dialClient(t, addr)
+	client.expectLine(sayCommand, "+said\r\n")
+	client.expectLine("*1\r\n$2\r\nGO\r\n", "+did GO\r\n")
+	for _, bad := range []string{"SAY\r\n", "\r\n", "*0\r\n", "*-1\r\n", "*4\r\n", "*1\r\n$-1\r\n", "*1\r\n$101\r\n",
+		"*1\r\n$99999999999999999999\r\n",
 		"*1\r\n$x\r\n", "*1\r\n+SAY\r\n", "*99999999999999999999\r\n", "*1\r\n$3\r\nSAYxx", "\x00\x01\x02"} {
-		k := visitor(t, addr)
-		if _, err := k.Write([]byte(bad)); err != nil {
+		client := dialClient(t, addr)
+		if _, err := client.Write([]byte(bad)); err != nil {
 			t.Fatal(err)
 		}
-		line, err := k.r.ReadString('\n')
+		line, err := client.reader.ReadString('\n')
 		if err != nil || line[0] != '-' {
 			t.Errorf("reply to %q is %q, %v; want an error", bad, line, err)
 		}
-		if _, err := k.r.ReadByte(); !errors.Is(err, io.EOF) {
+		if _, err := client.reader.ReadByte(); !errors.Is(err, io.EOF) {
 			t.Errorf("%q: the connection was not closed: %v", bad, err)
 		}
 	}
@@ -85,51 +90,52 @@
 
 // At the connection limit, usual clients were rejected although hundreds of connections had been idle for seconds: only the
 // first candidate for eviction was considered, and that one had only just been opened.
-func TestFullHouseMakesRoom(t *testing.T) {
-	bounds, world := openWorld(3)
-	_, _, addr := startWith(t, bounds, world)
-	once := visitor(t, addr)
-	once.says(say, "+said\r\n")
+func TestIdleConnectionEvictedAtLimit(t *testing.T) {
+	limits, options := withoutLogin(3)
+	_, _, addr := startServerWith(t, limits, options)
+	once := dialClient(t, addr)
+	once.expectLine(sayCommand, "+said\r\n")
 	time.Sleep(300 * time.Millisecond) // long enough for it to be evictable
-	fresh := visitor(t, addr)
-	if _, err := fresh.Write([]byte(say[:5])); err != nil {
+	fresh := dialClient(t, addr)
+	if _, err := fresh.Write([]byte(sayCommand[:5])); err != nil {
 		t.Fatal(err)
 	}
-	busy := visitor(t, addr)
-	busy.says(say, "+said\r\n")
-	busy.says(say, "+said\r\n")
-	visitor(t, addr).says(say, "+said\r\n")
-	if _, err := once.r.ReadByte(); !errors.Is(err, io.EOF) {
+	busy := dialClient(t, addr)
+	busy.expectLine(sayCommand, "+said\r\n")
+	busy.expectLine(sayCommand, "+said\r\n")
+	dialClient(t, addr).expectLine(sayCommand, "+said\r\n")
+	if _, err := once.reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("the connection idle after one request was not evicted: %v", err)
 	}
-	busy.says(say, "+said\r\n")
-	fresh.says(say[5:], "+said\r\n")
+	busy.expectLine(sayCommand, "+said\r\n")
+	fresh.expectLine(sayCommand[5:], "+said\r\n")
 }
 
-// Retire closes idle connections at once, and the others after their replies.
-func TestRetire(t *testing.T) {
-	srv, s, addr := startWith(t, func(f *config.Front) { f.Partial = 100 * time.Millisecond }, func(o *Options) { o.Handler = echo{} })
-	idle, busy := visitor(t, addr), visitor(t, addr)
-	idle.says(say, "+said\r\n")
+// CloseWhenIdle closes idle connections at once, and the others after their replies.
+func TestCloseWhenIdle(t *testing.T) {
+	srv, fake, addr := startServerWith(t, func(limits *config.Front) { limits.Partial = 100 * time.Millisecond },
+		func(options *Options) { options.Handler = echoHandler{} })
+	idle, busy := dialClient(t, addr), dialClient(t, addr)
+	idle.expectLine(sayCommand, "+said\r\n")
 	if _, err := busy.Write([]byte("*1\r\n$4\r\nhold\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	call := <-s.held
+	call := <-fake.held
 	srv.CloseWhenIdle()
-	if _, err := idle.r.ReadByte(); !errors.Is(err, io.EOF) {
+	if _, err := idle.reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("the idle connection was not closed: %v", err)
 	}
-	give(call, core.Answer{Payload: []byte("+held\r\n")})
-	if line, err := busy.r.ReadString('\n'); line != "+held\r\n" {
+	answerCall(call, core.Answer{Payload: []byte("+held\r\n")})
+	if line, err := busy.reader.ReadString('\n'); line != "+held\r\n" {
 		t.Errorf("reply on the busy connection is %q, %v", line, err)
 	}
-	if _, err := busy.r.ReadByte(); !errors.Is(err, io.EOF) {
+	if _, err := busy.reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("the busy connection was not closed after its reply: %v", err)
 	}
-	if c, err := dialRaw(addr); err == nil {
-		defer c.Close()
-		if _, err := c.Read(make([]byte, 1)); err == nil {
-			t.Error("input on a new connection, want none")
+	if conn, err := dial(addr); err == nil {
+		defer conn.Close()
+		if _, err := conn.Read(make([]byte, 1)); err == nil {
+			t.Error("got data on a new connection, want it closed")
 		}
 	}
 }
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -11,233 +11,238 @@
 	"cometpond/internal/resp"
 )
 
-// anyone is the client of connections that need no login.
-var anyone access.Client
-
-// conn is one client's connection. It is accessed on its event loop's goroutine alone.
-type conn struct {
-	c       *eventloop.Conn
-	loop    *loop
-	id      uint64
-	client  *access.Client // nil until login
-	name    string         // set by CLIENT SETNAME
-	version int            // of RESP: 2 or 3
-	since   time.Time      // when it was opened
-	guest   crowd.Guest    // its use so far, for closing and evicting idle connections
-	in      []byte         // input not processed yet: the beginning of a command, or commands to be parsed later
-	need    int            // length of in below which parsing can't make progress
-	partial time.Time      // when the command that is still incomplete began to arrive, zero if there is none
-	readAt  float64        // when input last arrived
-	old     float64        // when the input being parsed may have been sent, if before a pause of the process; else 0
-	oldNext float64        // the same for the last read
-	args    [][]byte       // kept for its memory
-	queue   []*pending     // commands whose replies have not been written, from head on
-	head    int
-	granted int  // bytes of in that the pool has granted
-	strange int  // bytes of in that the pool counts for clients that have not logged in
-	paused  bool // parsing is paused with commands left in in
-	dirty   bool // is in loop.dirty
-	closed  bool
-	quit    bool // close once all replies are written; no more input is processed
-
-	waits  bool // reading is paused until the pool grants memory
-	parked bool // reading is paused, for any reason
-	ready  int  // while parked: index in queue of the first command without an answer, as far as is known
-
-	lingers  bool    // its sending side is closed; input is discarded until the client closes, too
-	lingered int     // bytes discarded so far
-	lingerTo float64 // when the connection is closed at the latest
-
-	reason   closeReason // why it is being closed; "" while it is not
-	endError error       // the system's error, if the connection broke
-
-	out       []byte    // replies that the socket has not accepted yet
-	congested bool      // out is so large that no more replies are written for now
-	leftSince time.Time // when the socket last accepted a part of out, or out began to fill
+// anonymousClient is the client of connections that need no login.
+var anonymousClient access.Client
+
+// clientConn is one client's connection. It is accessed on its event loop's goroutine alone.
+type clientConn struct {
+	socket           *eventloop.Conn
+	loop             *connLoop
+	id               uint64
+	client           *access.Client    // nil until login
+	name             string            // set by CLIENT SETNAME
+	respVersion      int               // of RESP: 2 or 3
+	openedAt         time.Time         // when it was opened
+	usage            crowd.Guest       // its use so far, for closing and evicting idle connections
+	input            []byte            // input not processed yet: the beginning of a command, or commands to be parsed later
+	minInput         int               // length of input below which parsing can't make progress
+	incompleteSince  time.Time         // when the command that is still incomplete began to arrive, zero if there is none
+	readAt           float64           // when input last arrived
+	inputSentAt      float64           // when the input being parsed may have been sent, if before a pause of the process; else 0
+	lastReadSentAt   float64           // the same for the last read
+	args             [][]byte          // arguments of a command, kept to reuse the memory
+	pending          []*pendingCommand // commands whose replies have not been written, from firstPending on
+	firstPending     int
+	grantedBytes     int  // bytes of input that the pool has granted
+	bytesBeforeLogin int  // bytes of input that the pool counts for clients that have not logged in
+	parsingPaused    bool // parsing is paused with commands left in input
+	updated          bool // is in loop.updated
+	closed           bool
+	closing          bool // close once all replies are written; no more input is processed
+
+	awaitingMemory  bool // reading is paused until the pool grants memory
+	readingPaused   bool // reading is paused, for any reason
+	firstUnanswered int  // while reading is paused: index in pending of the first command without an answer, as far as is known
+
+	lingering      bool    // its sending side is closed; input is discarded until the client closes, too
+	discardedBytes int     // bytes discarded so far
+	lingerUntil    float64 // when the connection is closed at the latest
+
+	reason     closeReason // why it is being closed; "" while it is not
+	closeError error       // the system's error, if the connection broke
+
+	unsent      []byte    // replies that the socket has not accepted yet
+	congested   bool      // unsent is so large that no more replies are written for now
+	unsentSince time.Time // when the socket last accepted a part of unsent, or unsent began to fill
 }
 
-// pending is a command whose reply has not been written yet.
-type pending struct {
+// pendingCommand is a command whose reply has not been written yet.
+type pendingCommand struct {
 	call  core.Call
-	conn  *conn
-	ready []byte // the reply, if it was made without the core
+	conn  *clientConn
+	reply []byte // the reply, if it was made without the core
 	done  bool   // the reply or the core's answer is there
 }
 
-// waiting returns the number of commands whose replies have not been written.
-func (k *conn) waiting() int { return len(k.queue) - k.head }
+// pendingCount returns the number of commands whose replies have not been written.
+func (conn *clientConn) pendingCount() int { return len(conn.pending) - conn.firstPending }
 
-// looked records the possible age of the input that arrives now. A command is as old as its first byte: one that began to
-// arrive before a pause of the process, or that lay in the socket during it, is old however late its end arrives.
-func (k *conn) looked(parked bool) {
-	if k.loop.s.opt.InputAge == nil {
+// recordInputAge records the possible age of the input that arrives now. A command is as old as its first byte: one that began
+// to arrive before a pause of the process, or that lay in the socket during it, is old however late its end arrives.
+func (conn *clientConn) recordInputAge(readingPaused bool) {
+	if conn.loop.server.options.InputAge == nil {
 		return
 	}
-	age, now := k.loop.s.opt.InputAge(k.readAt, parked)
-	k.readAt, k.oldNext = now, 0
+	age, now := conn.loop.server.options.InputAge(conn.readAt, readingPaused)
+	conn.readAt, conn.lastReadSentAt = now, 0
 	if age > 0 {
-		k.oldNext = now - age
+		conn.lastReadSentAt = now - age
 	}
-	if len(k.in) == 0 || k.old == 0 {
-		k.old = k.oldNext
+	if len(conn.input) == 0 || conn.inputSentAt == 0 {
+		conn.inputSentAt = conn.lastReadSentAt
 	}
 }
 
-// arrived processes the data of one read, which is valid until it returns.
-func (k *conn) arrived(data []byte) eventloop.Action {
-	if k.lingers {
-		if k.lingered += len(data); k.lingered > lingerBytes {
-			k.because(lingeredTooLong)
+// handleInput processes the data of one read, which is valid until it returns.
+func (conn *clientConn) handleInput(data []byte) eventloop.Action {
+	if conn.lingering {
+		if conn.discardedBytes += len(data); conn.discardedBytes > maxLingerBytes {
+			conn.setReason(lingerExceeded)
 			return eventloop.Close
 		}
 		return eventloop.None
 	}
-	if k.quit {
+	if conn.closing {
 		return eventloop.None // input after the last command is ignored
 	}
 	src := data
-	if len(k.in) > 0 {
-		k.in = append(k.in, data...)
-		src = k.in
+	if len(conn.input) > 0 {
+		conn.input = append(conn.input, data...)
+		src = conn.input
 	}
-	if k.congested {
-		k.paused = true // no more replies until the client has read those in out
-	} else if len(src) >= k.need && !k.paused {
-		return k.read(src)
+	if conn.congested {
+		conn.parsingPaused = true // no more replies until the client has read those in unsent
+	} else if len(src) >= conn.minInput && !conn.parsingPaused {
+		return conn.parseInput(src)
 	}
-	if len(k.in) == 0 {
-		k.in = append(k.in, src...)
+	if len(conn.input) == 0 {
+		conn.input = append(conn.input, src...)
 	}
-	return k.hold()
+	return conn.reserveInput()
 }
 
-// again continues parsing the input that was received before.
-func (k *conn) again() eventloop.Action {
-	k.paused = false
-	if k.quit || len(k.in) == 0 || len(k.in) < k.need {
-		return k.pump()
+// parseBuffered continues parsing the input that was received before.
+func (conn *clientConn) parseBuffered() eventloop.Action {
+	conn.parsingPaused = false
+	if conn.closing || len(conn.input) == 0 || len(conn.input) < conn.minInput {
+		return conn.writeReplies()
 	}
-	return k.read(k.in)
+	return conn.parseInput(conn.input)
 }
 
-// read parses and starts the commands at the beginning of src, which is k.in or the data of the last read, and keeps the rest.
-func (k *conn) read(src []byte) eventloop.Action {
-	l, s := k.loop, k.loop.s
+// parseInput parses and starts the commands at the beginning of data, which is conn.input or the data of the last read, and
+// keeps the rest.
+func (conn *clientConn) parseInput(data []byte) eventloop.Action {
+	loop, srv := conn.loop, conn.loop.server
 	used := 0
-	var broken error
-	k.need, k.paused = 0, false
-	for used < len(src) && !k.quit {
-		if k.waiting() >= s.opt.Limits.Pipeline || len(l.buf) >= outputBatch {
-			k.paused = true
+	var protocolErr error
+	conn.minInput, conn.parsingPaused = 0, false
+	for used < len(data) && !conn.closing {
+		if conn.pendingCount() >= srv.options.Limits.Pipeline || len(loop.output) >= outputBatchBytes {
+			conn.parsingPaused = true
 			break
 		}
-		args, n, need, err := resp.ParseCommand(src[used:], k.args[:0], k.limits())
-		k.args = args
+		args, length, need, err := resp.ParseCommand(data[used:], conn.args[:0], conn.limits())
+		conn.args = args
 		if errors.Is(err, resp.ErrIncomplete) {
-			k.need = need
+			conn.minInput = need
 			break
 		} else if err != nil {
-			broken = err
+			protocolErr = err
 			break
 		}
-		used += n
+		used += length
 		if len(args) > 0 {
-			s.commands.Add(1)
-			k.guest.Asked++
-			if s.opt.Handler != nil {
-				s.opt.Handler.HandleCommand(k, args)
+			srv.commands.Add(1)
+			conn.usage.Asked++
+			if srv.options.Handler != nil {
+				srv.options.Handler.HandleCommand(conn, args)
 			} else {
-				k.command(args)
+				conn.handleCommand(args)
 			}
-		} else if s.opt.Handler != nil {
-			broken = resp.ProtocolError("empty command")
+		} else if srv.options.Handler != nil {
+			protocolErr = resp.ProtocolError("empty command")
 			break
 		}
 	}
-	clear(k.args)
+	clear(conn.args)
 	if used > 0 {
-		k.guest.LastS = seconds()
-		k.partial, k.old = time.Time{}, k.oldNext // the rest is from the last read
+		conn.usage.LastS = nowS()
+		conn.incompleteSince, conn.inputSentAt = time.Time{}, conn.lastReadSentAt // the rest is from the last read
 	}
-	if k.need > 0 && k.partial.IsZero() {
-		k.partial = time.Now()
+	if conn.minInput > 0 && conn.incompleteSince.IsZero() {
+		conn.incompleteSince = time.Now()
 	}
-	if k.quit || broken != nil {
-		used = len(src) // input after the last command is ignored
+	if conn.closing || protocolErr != nil {
+		used = len(data) // input after the last command is ignored
 	}
-	k.in = resp.Unprocessed(k.in, src, used, min(k.need, chunkMost))
-	k.submit()
-	if broken != nil {
-		s.cut.Add(1)
-		k.quit = true
-		k.because(badInput)
-		k.say(func(b []byte) []byte { return resp.AppendError(b, "ERR "+broken.Error()) })
+	conn.input = resp.Unprocessed(conn.input, data, used, min(conn.minInput, readBufferBytes))
+	conn.submitCalls()
+	if protocolErr != nil {
+		srv.terminated.Add(1)
+		conn.closing = true
+		conn.setReason(protocolViolation)
+		conn.replyWith(func(b []byte) []byte { return resp.AppendError(b, "ERR "+protocolErr.Error()) })
 	}
-	if act := l.write(k); act != eventloop.None {
-		return act
+	if action := loop.writeOutput(conn); action != eventloop.None {
+		return action
 	}
-	if act := k.pump(); act != eventloop.None {
-		return act
+	if action := conn.writeReplies(); action != eventloop.None {
+		return action
 	}
-	if k.congested && len(k.in) > 0 {
-		k.paused = true
-	} else if k.paused && k.waiting() < s.opt.Limits.Pipeline { // was paused only because the output batch was full
-		return k.again()
+	if conn.congested && len(conn.input) > 0 {
+		conn.parsingPaused = true
+	} else if conn.parsingPaused && conn.pendingCount() < srv.options.Limits.Pipeline {
+		// Parsing was paused only because the output batch was full.
+		return conn.parseBuffered()
 	}
-	return k.hold()
+	return conn.reserveInput()
 }
 
 // resume continues after the pool has granted memory, the core has answered or the client has read replies.
-func (k *conn) resume() eventloop.Action {
+func (conn *clientConn) resume() eventloop.Action {
 	switch {
-	case k.closed:
+	case conn.closed:
 		return eventloop.None
-	case k.parked:
-		for k.ready < len(k.queue) && k.queue[k.ready].done {
-			k.ready++
+	case conn.readingPaused:
+		for conn.firstUnanswered < len(conn.pending) && conn.pending[conn.firstUnanswered].done {
+			conn.firstUnanswered++
 		}
-		if !k.waits && !k.congested && (!k.paused || len(k.queue)-k.ready <= k.loop.s.opt.Limits.Pipeline/2) {
-			return k.unpark()
+		if !conn.awaitingMemory && !conn.congested && (!conn.parsingPaused ||
+			len(conn.pending)-conn.firstUnanswered <= conn.loop.server.options.Limits.Pipeline/2) {
+			return conn.resumeReading()
 		}
 		return eventloop.None
 	}
-	if act := k.pump(); act != eventloop.None || k.congested {
-		return act
+	if action := conn.writeReplies(); action != eventloop.None || conn.congested {
+		return action
 	}
-	if k.paused && k.waiting() <= k.loop.s.opt.Limits.Pipeline/2 {
-		return k.again()
+	if conn.parsingPaused && conn.pendingCount() <= conn.loop.server.options.Limits.Pipeline/2 {
+		return conn.parseBuffered()
 	}
 	return eventloop.None
 }
 
-// submit passes the commands parsed so far to the core, and refuses those that the core's queue can't take.
-func (k *conn) submit() {
-	l := k.loop
-	if len(l.calls) == 0 {
+// submitCalls passes the commands parsed so far to the core, and refuses those that the core's queue can't take.
+func (conn *clientConn) submitCalls() {
+	loop := conn.loop
+	if len(loop.newCalls) == 0 {
 		return
 	}
-	n := l.s.core.Submit(l.calls)
-	for _, c := range l.calls[n:] {
-		p := c.Tag.(*pending)
-		c.Answer, p.done = core.Answer{Kind: core.Refused, Reason: core.Overfull, Why: "too many requests wait"}, true
+	accepted := loop.server.core.Submit(loop.newCalls)
+	for _, call := range loop.newCalls[accepted:] {
+		command := call.Tag.(*pendingCommand)
+		call.Answer, command.done = core.Answer{Kind: core.Refused, Reason: core.Overfull, Why: "too many requests wait"}, true
 	}
-	clear(l.calls)
-	l.calls = l.calls[:0]
+	clear(loop.newCalls)
+	loop.newCalls = loop.newCalls[:0]
 }
 
 // Submit submits a call to the core. It implements Conn.
-func (k *conn) Submit(c core.Call) { k.ask(c) }
+func (conn *clientConn) Submit(call core.Call) { conn.enqueueCall(call) }
 
 // Reply replies to a command without the core. It implements Conn.
-func (k *conn) Reply(answer []byte) { k.say(func(b []byte) []byte { return append(b, answer...) }) }
+func (conn *clientConn) Reply(reply []byte) {
+	conn.replyWith(func(b []byte) []byte { return append(b, reply...) })
+}
 
-// ask queues a call for submission to the core and reserves its place in the order of replies.
-func (k *conn) ask(c core.Call) {
-	p := &pending{call: c, conn: k}
-	p.call.Front, p.call.Tag = k.loop, p
-	if k.old > 0 {
-		p.call.AgeS = k.readAt - k.old
+// enqueueCall queues a call for submission to the core and reserves its place in the order of replies.
+func (conn *clientConn) enqueueCall(call core.Call) {
+	command := &pendingCommand{call: call, conn: conn}
+	command.call.Front, command.call.Tag = conn.loop, command
+	if conn.inputSentAt > 0 {
+		command.call.AgeS = conn.readAt - conn.inputSentAt
 	}
-	k.queue = append(k.queue, p)
-	k.loop.calls = append(k.loop.calls, &p.call)
+	conn.pending = append(conn.pending, command)
+	conn.loop.newCalls = append(conn.loop.newCalls, &command.call)
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -28,195 +28,204 @@
 	goleak.VerifyTestMain(m)
 }
 
-// scripted is a core that answers each call, on a goroutine of its own, as its payload or its number of units asks for.
-type scripted struct {
-	mu    sync.Mutex
-	calls []*core.Call
-	gone  []*core.Call
-	room  int // number of calls accepted at a time, below 0: any
-	held  chan *core.Call
-	queue chan *core.Call
-	ended sync.WaitGroup
+// fakeCore is a core that answers each call, on a goroutine of its own, as its payload or its number of units asks for.
+type fakeCore struct {
+	mu       sync.Mutex
+	calls    []*core.Call
+	gone     []*core.Call
+	capacity int // number of calls accepted at a time, below 0: any
+	held     chan *core.Call
+	queue    chan *core.Call
+	stopped  sync.WaitGroup
 }
 
-func newScripted() *scripted {
-	s := &scripted{room: -1, held: make(chan *core.Call, 100000), queue: make(chan *core.Call, 100000)}
-	s.ended.Add(1)
+// newFakeCore starts a core that ends when its queue is closed.
+func newFakeCore() *fakeCore {
+	fake := &fakeCore{capacity: -1, held: make(chan *core.Call, 100000), queue: make(chan *core.Call, 100000)}
+	fake.stopped.Add(1)
 	go func() {
-		defer s.ended.Done()
-		for c := range s.queue {
-			s.rule(c)
+		defer fake.stopped.Done()
+		for call := range fake.queue {
+			fake.answer(call)
 		}
 	}()
-	return s
+	return fake
 }
 
-func (s *scripted) Submit(calls []*core.Call) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	n := len(calls)
-	if s.room >= 0 {
-		n = min(n, s.room)
+func (fake *fakeCore) Submit(calls []*core.Call) int {
+	fake.mu.Lock()
+	defer fake.mu.Unlock()
+	accepted := len(calls)
+	if fake.capacity >= 0 {
+		accepted = min(accepted, fake.capacity)
 	}
-	for _, c := range calls[:n] {
-		s.calls = append(s.calls, c)
-		s.queue <- c
+	for _, call := range calls[:accepted] {
+		fake.calls = append(fake.calls, call)
+		fake.queue <- call
 	}
-	return n
+	return accepted
 }
 
-func (s *scripted) Gone(calls []*core.Call) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.gone = append(s.gone, calls...)
+func (fake *fakeCore) Gone(calls []*core.Call) {
+	fake.mu.Lock()
+	defer fake.mu.Unlock()
+	fake.gone = append(fake.gone, calls...)
 }
 
-func (s *scripted) seen() int { s.mu.Lock(); defer s.mu.Unlock(); return len(s.calls) }
+// callCount returns the number of calls submitted so far.
+func (fake *fakeCore) callCount() int { fake.mu.Lock(); defer fake.mu.Unlock(); return len(fake.calls) }
 
-func (s *scripted) left() int { s.mu.Lock(); defer s.mu.Unlock(); return len(s.gone) }
+// goneCount returns the number of calls whose client has disconnected.
+func (fake *fakeCore) goneCount() int { fake.mu.Lock(); defer fake.mu.Unlock(); return len(fake.gone) }
 
-func (s *scripted) rule(c *core.Call) {
-	a := core.Answer{}
-	text := string(c.Payload)
+// answer answers a call, or puts it into held for the test to answer.
+func (fake *fakeCore) answer(call *core.Call) {
+	answer := core.Answer{}
+	payload := string(call.Payload)
 	switch {
-	case strings.Contains(text, "hold"):
-		s.held <- c
+	case strings.Contains(payload, "hold"):
+		fake.held <- call
 		return
-	case strings.Contains(text, "refuse"):
-		a.Kind, a.RetryS, a.Why = core.Refused, 0.25, "over quota"
-	case strings.Contains(text, "fail"):
-		a.Kind, a.Why = core.Failed, "may have run"
-	case strings.Contains(text, "map"):
-		a.Payload = []byte("%1\r\n+a\r\n:1\r\n")
-	case c.Limit && c.Units > 5:
-		a.Kind, a.Quota = core.Refused, core.Quota{Burst: 20, Room: 5.5, RetryS: 0.3, ResetS: 1.45}
-	case c.Limit:
-		a.Kind, a.Quota = core.Admitted, core.Quota{Burst: 20, Room: 19.5, ResetS: 0.05}
+	case strings.Contains(payload, "refuse"):
+		answer.Kind, answer.RetryS, answer.Why = core.Refused, 0.25, "over quota"
+	case strings.Contains(payload, "fail"):
+		answer.Kind, answer.Why = core.Failed, "may have run"
+	case strings.Contains(payload, "map"):
+		answer.Payload = []byte("%1\r\n+a\r\n:1\r\n")
+	case call.Limit && call.Units > 5:
+		answer.Kind, answer.Quota = core.Refused, core.Quota{Burst: 20, Room: 5.5, RetryS: 0.3, ResetS: 1.45}
+	case call.Limit:
+		answer.Kind, answer.Quota = core.Admitted, core.Quota{Burst: 20, Room: 19.5, ResetS: 0.05}
 	default:
-		a.Payload = []byte("+did " + c.Key + "\r\n")
+		answer.Payload = []byte("+did " + call.Key + "\r\n")
 	}
-	give(c, a)
+	answerCall(call, answer)
 }
 
-func give(c *core.Call, a core.Answer) {
-	c.Answer = a
-	c.Front.Answered([]*core.Call{c})
+func answerCall(call *core.Call, answer core.Answer) {
+	call.Answer = answer
+	call.Front.Answered([]*core.Call{call})
 }
 
-func book(t testing.TB) *access.Registry {
+// newRegistry returns the clients and commands of an example configuration.
+func newRegistry(t testing.TB) *access.Registry {
 	t.Helper()
-	raw, err := os.ReadFile("../../examples/one.sexp")
+	settings, err := os.ReadFile("../../examples/one.sexp")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := config.Parse("one.sexp", string(raw))
+	cfg, err := config.Parse("one.sexp", string(settings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return access.New(c)
+	return access.New(cfg)
 }
 
-func start(t testing.TB, change func(*config.Front)) (*Server, *scripted, string) {
+func startServer(t testing.TB, changeLimits func(*config.Front)) (*Server, *fakeCore, string) {
 	t.Helper()
-	return startWith(t, change, nil)
+	return startServerWith(t, changeLimits, nil)
 }
 
-func startWith(t testing.TB, change func(*config.Front), more func(*Options)) (*Server, *scripted, string) {
+// startServerWith starts a server with a fake core until the end of the test. It returns both, and the server's address.
+func startServerWith(t testing.TB, changeLimits func(*config.Front), changeOptions func(*Options)) (*Server, *fakeCore, string) {
 	t.Helper()
-	s := newScripted()
-	b := config.Front{Connections: 1000, Bulk: 4096, Pipeline: 500, Output: 1 << 20, Partial: time.Minute}
-	if change != nil {
-		change(&b)
+	fake := newFakeCore()
+	limits := config.Front{Connections: 1000, Bulk: 4096, Pipeline: 500, Output: 1 << 20, Partial: time.Minute}
+	if changeLimits != nil {
+		changeLimits(&limits)
 	}
-	o := Options{Listen: "127.0.0.1:0", Loops: 2, Limits: b, Registry: book(t), Info: func() string { return "x:1" }, Log: zerolog.Nop()}
-	if more != nil {
-		more(&o)
+	options := Options{Listen: "127.0.0.1:0", Loops: 2, Limits: limits, Registry: newRegistry(t),
+		Info: func() string { return "x:1" }, Log: zerolog.Nop()}
+	if changeOptions != nil {
+		changeOptions(&options)
 	}
-	srv, err := Start(s, o)
+	srv, err := Start(fake, options)
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := srv.Addr()
 	t.Cleanup(func() {
 		srv.Stop(context.Background())
-		close(s.queue)
-		s.ended.Wait()
+		close(fake.queue)
+		fake.stopped.Wait()
 	})
-	return srv, s, addr.String()
+	return srv, fake, addr.String()
 }
 
-// raw is a client that sends arbitrary bytes.
-type raw struct {
+// testClient is a client that sends arbitrary bytes.
+type testClient struct {
 	net.Conn
-	r *bufio.Reader
-	t *testing.T
+	reader *bufio.Reader
+	t      *testing.T
 }
 
-func dialRaw(addr string) (net.Conn, error) {
-	c, err := net.Dial("tcp", addr)
+func dial(addr string) (net.Conn, error) {
+	conn, err := net.Dial("tcp", addr)
 	if err == nil {
-		err = c.SetDeadline(time.Now().Add(20 * time.Second))
+		err = conn.SetDeadline(time.Now().Add(20 * time.Second))
 	}
-	return c, err
+	return conn, err
 }
 
-func connect(t *testing.T, addr string, login bool) *raw {
+// connect connects a client, which logs in if login is set.
+func connect(t *testing.T, addr string, login bool) *testClient {
 	t.Helper()
-	c, err := dialRaw(addr)
+	conn, err := dial(addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	k := &raw{c, bufio.NewReader(c), t}
+	t.Cleanup(func() { conn.Close() })
+	client := &testClient{conn, bufio.NewReader(conn), t}
 	if login {
-		k.expect("AUTH acme acme-secret\r\n", "+OK\r\n")
+		client.expect("AUTH acme acme-secret\r\n", "+OK\r\n")
 	}
-	return k
+	return client
 }
 
-func (k *raw) send(s string) {
-	k.t.Helper()
+func (client *testClient) send(s string) {
+	client.t.Helper()
 	if s == "" {
 		return // an empty write would block on a write in progress
 	}
-	if _, err := io.WriteString(k, s); err != nil {
-		k.t.Fatal(err)
+	if _, err := io.WriteString(client, s); err != nil {
+		client.t.Fatal(err)
 	}
 }
 
-func (k *raw) expect(send, want string) {
-	k.t.Helper()
-	k.send(send)
+// expect sends a text and reads the reply, which must be want.
+func (client *testClient) expect(send, want string) {
+	client.t.Helper()
+	client.send(send)
 	got := make([]byte, len(want))
-	if n, err := io.ReadFull(k.r, got); err != nil || string(got) != want {
-		more, _ := k.r.Peek(min(k.r.Buffered(), 300))
-		k.t.Fatalf("%q: got %q (%v), want %q; then %q", send, got[:n], err, want, more)
+	if n, err := io.ReadFull(client.reader, got); err != nil || string(got) != want {
+		rest, _ := client.reader.Peek(min(client.reader.Buffered(), 300))
+		client.t.Fatalf("%q: got %q (%v), want %q; then %q", send, got[:n], err, want, rest)
 	}
 }
 
-// ended reads up to the end of the connection and checks that want is in what came before it. A reset counts as an end.
-func (k *raw) ended(want string) {
-	k.t.Helper()
-	b, err := io.ReadAll(k.r)
-	if err != nil && !strings.Contains(err.Error(), "reset") || !strings.Contains(string(b), want) {
-		k.t.Fatalf("got %q, %v; want %q and the end", b, err, want)
+// expectClose reads up to the end of the connection and checks that want is in what came before it. A reset counts as an end.
+func (client *testClient) expectClose(want string) {
+	client.t.Helper()
+	rest, err := io.ReadAll(client.reader)
+	if err != nil && !strings.Contains(err.Error(), "reset") || !strings.Contains(string(rest), want) {
+		client.t.Fatalf("got %q, %v; want %q and the end", rest, err, want)
 	}
 }
 
 func TestCommands(t *testing.T) {
-	_, _, addr := start(t, nil)
-	k := connect(t, addr, false)
-	k.expect("PING\r\n", "-NOAUTH Authentication required.\r\n")
-	k.expect("JOB.STATUS 1\r\n", "-NOAUTH Authentication required.\r\n")
-	k.expect("AUTH acme wrong\r\n", "-WRONGPASS invalid username-password pair or user is disabled.\r\n")
-	k.expect("AUTH nobody acme-secret\r\n", "-WRONGPASS invalid username-password pair or user is disabled.\r\n")
-	k.expect("AUTH acme-secret\r\n", "-WRONGPASS")
-	k.r.ReadString('\n')
-	k.expect("HELLO 3\r\n", "-NOAUTH HELLO must be called")
-	k.r.ReadString('\n')
-	k.expect("HELLO 4\r\n", "-NOPROTO unsupported protocol version\r\n")
-	k.expect("HELLO 2 AUTH acme acme-secret SETNAME me\r\n", "*14\r\n$6\r\nserver\r\n$9\r\ncometpond\r\n$7\r\nversion\r\n$5\r\n1.0.0\r\n$5\r\nproto\r\n:2\r\n$2\r\nid\r\n:1\r\n$4\r\nmode\r\n$10\r\nstandalone\r\n$4\r\nrole\r\n$6\r\nmaster\r\n$7\r\nmodules\r\n*0\r\n")
-	for _, c := range [][2]string{
+	_, _, addr := startServer(t, nil)
+	client := connect(t, addr, false)
+	client.expect("PING\r\n", "-NOAUTH Authentication required.\r\n")
+	client.expect("JOB.STATUS 1\r\n", "-NOAUTH Authentication required.\r\n")
+	client.expect("AUTH acme wrong\r\n", "-WRONGPASS invalid username-password pair or user is disabled.\r\n")
+	client.expect("AUTH nobody acme-secret\r\n", "-WRONGPASS invalid username-password pair or user is disabled.\r\n")
+	client.expect("AUTH acme-secret\r\n", "-WRONGPASS")
+	client.reader.ReadString('\n')
+	client.expect("HELLO 3\r\n", "-NOAUTH HELLO must be called")
+	client.reader.ReadString('\n')
+	client.expect("HELLO 4\r\n", "-NOPROTO unsupported protocol version\r\n")
+	client.expect("HELLO 2 AUTH acme acme-secret SETNAME me\r\n", "*14\r\n$6\r\nserver\r\n$9\r\ncometpond\r\n$7\r\nversion\r\n$5\r\n1.0.0\r\n$5\r\nproto\r\n:2\r\n$2\r\nid\r\n:1\r\n$4\r\nmode\r\n$10\r\nstandalone\r\n$4\r\nrole\r\n$6\r\nmaster\r\n$7\r\nmodules\r\n*0\r\n")
+	for _, exchange := range [][2]string{
 		{"PING", "+PONG"}, {"ping hi", "$2\r\nhi"}, {"ECHO 'a b'", "$3\r\na b"}, {"ECHO", "-ERR wrong number of arguments for 'echo' command"},
 		{"SELECT 0", "+OK"}, {"SELECT 1", "-ERR DB index is out of range"}, {"CLIENT GETNAME", "$2\r\nme"},
 		{"CLIENT SETNAME you", "+OK"}, {"CLIENT GETNAME", "$3\r\nyou"}, {"CLIENT SETINFO LIB-NAME x", "+OK"}, {"CLIENT ID", ":1"},
@@ -233,49 +242,50 @@
 		{"RESET", "+RESET"}, {"PING", "-NOAUTH Authentication required."},
 		{"HELLO 3 AUTH acme acme-secret", "%7"},
 	} {
-		k.expect(c[0]+"\r\n", c[1]+"\r\n")
+		client.expect(exchange[0]+"\r\n", exchange[1]+"\r\n")
 	}
-	k.expect("", "$6\r\nserver\r\n$9\r\ncometpond\r\n$7\r\nversion\r\n$5\r\n1.0.0\r\n$5\r\nproto\r\n:3\r\n$2\r\nid\r\n:1\r\n$4\r\nmode\r\n$10\r\nstandalone\r\n$4\r\nrole\r\n$6\r\nmaster\r\n$7\r\nmodules\r\n*0\r\n")
-	k.expect("JOB.STATUS map\r\n", "%1\r\n+a\r\n:1\r\n") // passed on unchanged in version 3
-	k.expect("QUIT\r\n", "+OK\r\n")
-	k.ended("")
+	client.expect("", "$6\r\nserver\r\n$9\r\ncometpond\r\n$7\r\nversion\r\n$5\r\n1.0.0\r\n$5\r\nproto\r\n:3\r\n$2\r\nid\r\n:1\r\n$4\r\nmode\r\n$10\r\nstandalone\r\n$4\r\nrole\r\n$6\r\nmaster\r\n$7\r\nmodules\r\n*0\r\n")
+	client.expect("JOB.STATUS map\r\n", "%1\r\n+a\r\n:1\r\n") // passed on unchanged in version 3
+	client.expect("QUIT\r\n", "+OK\r\n")
+	client.expectClose("")
 }
 
 // Replies are written in the order of the commands, whichever is ready first.
-func TestOrder(t *testing.T) {
-	_, s, addr := start(t, nil)
-	k := connect(t, addr, true)
-	k.send("JOB.STATUS hold1\r\nPING\r\nSIGN.SUBMIT k2 x\r\nNOPE\r\nJOB.STATUS hold2\r\nECHO end\r\n")
-	first, second := <-s.held, <-s.held
-	give(second, core.Answer{Payload: []byte("+second\r\n")})
-	give(first, core.Answer{Payload: []byte("+first\r\n")})
-	k.expect("", "+first\r\n+PONG\r\n+did k2\r\n-ERR unknown command 'NOPE', with args beginning with: \r\n+second\r\n$3\r\nend\r\n")
+func TestReplyOrder(t *testing.T) {
+	_, fake, addr := startServer(t, nil)
+	client := connect(t, addr, true)
+	client.send("JOB.STATUS hold1\r\nPING\r\nSIGN.SUBMIT k2 x\r\nNOPE\r\nJOB.STATUS hold2\r\nECHO end\r\n")
+	first, second := <-fake.held, <-fake.held
+	answerCall(second, core.Answer{Payload: []byte("+second\r\n")})
+	answerCall(first, core.Answer{Payload: []byte("+first\r\n")})
+	client.expect("", "+first\r\n+PONG\r\n+did k2\r\n-ERR unknown command 'NOPE', with args beginning with: \r\n+second\r\n$3\r\nend\r\n")
 }
 
 // The core is told when a client disconnects, and a late answer to its request is dropped.
-func TestClientGone(t *testing.T) {
-	srv, s, addr := start(t, nil)
-	k := connect(t, addr, true)
-	k.send("JOB.STATUS hold1\r\nJOB.STATUS hold2\r\n")
-	a, b := <-s.held, <-s.held
-	k.Close()
-	wait(t, func() bool { return s.left() == 2 && srv.Counts().Open == 0 })
-	give(a, core.Answer{Payload: []byte("+late\r\n")})
-	give(b, core.Answer{Payload: []byte("+late\r\n")})
+func TestClientDisconnect(t *testing.T) {
+	srv, fake, addr := startServer(t, nil)
+	client := connect(t, addr, true)
+	client.send("JOB.STATUS hold1\r\nJOB.STATUS hold2\r\n")
+	first, second := <-fake.held, <-fake.held
+	client.Close()
+	waitFor(t, func() bool { return fake.goneCount() == 2 && srv.Counts().Open == 0 })
+	answerCall(first, core.Answer{Payload: []byte("+late\r\n")})
+	answerCall(second, core.Answer{Payload: []byte("+late\r\n")})
 	connect(t, addr, true).expect("PING\r\n", "+PONG\r\n")
 }
 
-func wait(t *testing.T, done func() bool) {
+// waitFor waits until condition is true.
+func waitFor(t *testing.T, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !done(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("condition not met within 20 s")
 		}
 	}
 }
 
-func TestBrokenFraming(t *testing.T) {
-	_, _, addr := start(t, nil)
+func TestMalformedInput(t *testing.T) {
+	_, _, addr := startServer(t, nil)
 	for in, want := range map[string]string{
 		"*1\r\n$99999\r\n":             "-ERR Protocol error: invalid bulk length\r\n",
 		"*99999\r\n":                   "-ERR Protocol error: invalid multibulk length\r\n",
@@ -284,75 +294,75 @@
 		strings.Repeat("x", 20<<10):    "-ERR Protocol error: too big inline request\r\n",
 		"PING\r\n*1\r\n$2\r\nhiXXPING": "+PONG\r\n-ERR Protocol error: bulk string not ended by CRLF\r\n",
 	} {
-		k := connect(t, addr, true)
-		k.send(in)
-		k.ended(want)
+		client := connect(t, addr, true)
+		client.send(in)
+		client.expectClose(want)
 	}
 }
 
-func TestBounds(t *testing.T) {
+func TestLimits(t *testing.T) {
 	t.Run("slow command", func(t *testing.T) {
-		srv, _, addr := start(t, func(b *config.Front) { b.Partial = 100 * time.Millisecond })
+		srv, _, addr := startServer(t, func(limits *config.Front) { limits.Partial = 100 * time.Millisecond })
 		silent, slow := connect(t, addr, false), connect(t, addr, true)
 		slow.send("*1\r\n$4\r\nPI")
 		idle := connect(t, addr, true)
-		slow.ended("")
-		silent.ended("") // did not log in
+		slow.expectClose("")
+		silent.expectClose("") // did not log in
 		idle.expect("PING\r\n", "+PONG\r\n")
 		if srv.Counts().Terminated != 2 {
-			t.Errorf("%d cut, want 2", srv.Counts().Terminated)
+			t.Errorf("%d connections terminated, want 2", srv.Counts().Terminated)
 		}
 	})
 	t.Run("client that never reads", func(t *testing.T) {
-		srv, _, addr := start(t, func(b *config.Front) { b.Output, b.Partial = 64<<10, 300*time.Millisecond })
-		k := connect(t, addr, true)
+		srv, _, addr := startServer(t, func(limits *config.Front) { limits.Output, limits.Partial = 64<<10, 300*time.Millisecond })
+		client := connect(t, addr, true)
 		big := "ECHO " + strings.Repeat("x", 4000) + "\r\n"
 		for srv.Counts().Terminated == 0 {
-			if _, err := io.WriteString(k, big); err != nil {
+			if _, err := io.WriteString(client, big); err != nil {
 				break
 			}
 		}
-		wait(t, func() bool { return srv.Counts().Open == 0 })
+		waitFor(t, func() bool { return srv.Counts().Open == 0 })
 	})
 	t.Run("pipeline", func(t *testing.T) {
-		_, s, addr := start(t, func(b *config.Front) { b.Pipeline = 10 })
-		k := connect(t, addr, true)
-		k.send(strings.Repeat("JOB.STATUS hold\r\n", 25))
+		_, fake, addr := startServer(t, func(limits *config.Front) { limits.Pipeline = 10 })
+		client := connect(t, addr, true)
+		client.send(strings.Repeat("JOB.STATUS hold\r\n", 25))
 		for n := range 25 {
-			c := <-s.held
-			if seen := s.seen(); seen > n+10 {
+			call := <-fake.held
+			if seen := fake.callCount(); seen > n+10 {
 				t.Fatalf("%d commands in flight", seen-n)
 			}
-			give(c, core.Answer{Payload: []byte("+ok\r\n")})
+			answerCall(call, core.Answer{Payload: []byte("+ok\r\n")})
 		}
-		k.expect("", strings.Repeat("+ok\r\n", 25))
+		client.expect("", strings.Repeat("+ok\r\n", 25))
 	})
 	t.Run("connections", func(t *testing.T) {
-		srv, _, addr := start(t, func(b *config.Front) { b.Connections = 2 })
+		srv, _, addr := startServer(t, func(limits *config.Front) { limits.Connections = 2 })
 		connect(t, addr, true)
 		connect(t, addr, true)
-		connect(t, addr, false).ended("-ERR max number of clients reached\r\n")
-		wait(t, func() bool { return srv.Counts().Open == 2 })
+		connect(t, addr, false).expectClose("-ERR max number of clients reached\r\n")
+		waitFor(t, func() bool { return srv.Counts().Open == 2 })
 	})
 	t.Run("core full", func(t *testing.T) {
-		_, s, addr := start(t, nil)
-		s.mu.Lock()
-		s.room = 1
-		s.mu.Unlock()
-		k := connect(t, addr, true)
-		k.send("JOB.STATUS 1\r\nJOB.STATUS 2\r\n")
-		k.expect("", "+did \r\n")
-		line, _ := k.r.ReadString('\n')
+		_, fake, addr := startServer(t, nil)
+		fake.mu.Lock()
+		fake.capacity = 1
+		fake.mu.Unlock()
+		client := connect(t, addr, true)
+		client.send("JOB.STATUS 1\r\nJOB.STATUS 2\r\n")
+		client.expect("", "+did \r\n")
+		line, _ := client.reader.ReadString('\n')
 		if !strings.HasPrefix(line, "-REFUSED") && line != "+did \r\n" { // depends on whether both arrived in one read
 			t.Errorf("%q", line)
 		}
 	})
 	t.Run("drain", func(t *testing.T) {
-		srv, _, addr := start(t, nil)
-		k := connect(t, addr, true)
+		srv, _, addr := startServer(t, nil)
+		client := connect(t, addr, true)
 		srv.RejectNewConnections()
-		connect(t, addr, false).ended("-ERR this instance is shutting down\r\n")
-		k.expect("PING\r\n", "+PONG\r\n")
+		connect(t, addr, false).expectClose("-ERR this instance is shutting down\r\n")
+		client.expect("PING\r\n", "+PONG\r\n")
 	})
 }
 
@@ -360,27 +370,29 @@
 func TestGoRedis(t *testing.T) {
 	for _, version := range []int{2, 3} {
 		t.Run(fmt.Sprint("RESP", version), func(t *testing.T) {
-			_, s, addr := start(t, nil)
-			c := redis.NewClient(&redis.Options{Addr: addr, Username: "acme", Password: "acme-secret", Protocol: version, ClientName: "ci"})
-			defer c.Close()
+			_, fake, addr := startServer(t, nil)
+			client := redis.NewClient(&redis.Options{Addr: addr, Username: "acme", Password: "acme-secret",
+				Protocol: version, ClientName: "ci"})
+			defer client.Close()
 			ctx := context.Background()
-			if v, err := c.Do(ctx, "SIGN.SUBMIT", "k9", "img").Text(); err != nil || v != "did k9" {
+			if v, err := client.Do(ctx, "SIGN.SUBMIT", "k9", "img").Text(); err != nil || v != "did k9" {
 				t.Fatal(v, err)
 			}
-			if v, err := c.Do(ctx, "CL.THROTTLE", "u", 15, 30, 60, 1).Int64Slice(); err != nil || !reflect.DeepEqual(v, []int64{0, 20, 19, -1, 1}) {
+			if v, err := client.Do(ctx, "CL.THROTTLE", "u", 15, 30, 60, 1).Int64Slice(); err != nil ||
+				!reflect.DeepEqual(v, []int64{0, 20, 19, -1, 1}) {
 				t.Fatal(v, err)
 			}
-			before := s.seen()
-			if err := c.Do(ctx, "JOB.STATUS", "refuse").Err(); err == nil || !strings.HasPrefix(err.Error(), "REFUSED") {
+			before := fake.callCount()
+			if err := client.Do(ctx, "JOB.STATUS", "refuse").Err(); err == nil || !strings.HasPrefix(err.Error(), "REFUSED") {
 				t.Fatal(err)
 			}
-			if err := c.Do(ctx, "SIGN.SUBMIT", "k", "fail").Err(); err == nil || !strings.HasPrefix(err.Error(), "FAILED") {
+			if err := client.Do(ctx, "SIGN.SUBMIT", "k", "fail").Err(); err == nil || !strings.HasPrefix(err.Error(), "FAILED") {
 				t.Fatal(err)
 			}
-			if n := s.seen() - before; n != 2 {
+			if n := fake.callCount() - before; n != 2 {
 				t.Fatalf("core received %d commands for two calls", n)
 			}
-			cmds, err := c.Pipelined(ctx, func(p redis.Pipeliner) error {
+			cmds, err := client.Pipelined(ctx, func(p redis.Pipeliner) error {
 				for i := range 300 {
 					p.Do(ctx, "SIGN.SUBMIT", fmt.Sprint("k", i), "img")
 				}
@@ -402,20 +414,20 @@
 // docs/clients.md describes this to users; the test detects a change of the library's behaviour.
 func TestGoRedisOnBrokenConnection(t *testing.T) {
 	for _, retries := range []int{0, -1} { // 0 is the library's default of three
-		_, s, addr := start(t, nil)
-		c := redis.NewClient(&redis.Options{Addr: addr, Username: "acme", Password: "acme-secret", MaxRetries: retries,
+		_, fake, addr := startServer(t, nil)
+		client := redis.NewClient(&redis.Options{Addr: addr, Username: "acme", Password: "acme-secret", MaxRetries: retries,
 			ReadTimeout: time.Minute, MinRetryBackoff: time.Millisecond, MaxRetryBackoff: time.Millisecond})
 		done := make(chan error, 1)
-		go func() { done <- c.Do(context.Background(), "SIGN.SUBMIT", "k", "hold").Err() }()
+		go func() { done <- client.Do(context.Background(), "SIGN.SUBMIT", "k", "hold").Err() }()
 		sent := 0
-		for over := false; !over; {
+		for finished := false; !finished; {
 			select {
-			case call := <-s.held:
+			case call := <-fake.held:
 				sent++
-				p := call.Tag.(*pending)
-				p.conn.c.Close()
+				command := call.Tag.(*pendingCommand)
+				command.conn.socket.Close()
 			case err := <-done:
-				if over = true; err == nil || !errors.Is(err, io.EOF) && !strings.Contains(err.Error(), "reset") {
+				if finished = true; err == nil || !errors.Is(err, io.EOF) && !strings.Contains(err.Error(), "reset") {
 					t.Errorf("retries %d: %v", retries, err)
 				}
 			}
@@ -423,61 +435,62 @@
 		if (retries == -1) != (sent == 1) {
 			t.Errorf("MaxRetries %d: sent %d times", retries, sent)
 		}
-		c.Close()
+		client.Close()
 	}
 }
 
 // rueidis sends only read-only commands again by itself, and takes none of this gateway's commands for one.
 func TestRueidis(t *testing.T) {
-	_, s, addr := start(t, nil)
-	c, err := rueidis.NewClient(rueidis.ClientOption{InitAddress: []string{addr}, Username: "acme", Password: "acme-secret",
+	_, fake, addr := startServer(t, nil)
+	client, err := rueidis.NewClient(rueidis.ClientOption{InitAddress: []string{addr}, Username: "acme", Password: "acme-secret",
 		DisableCache: true, ForceSingleClient: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer client.Close()
 	ctx := context.Background()
-	ask := func(words ...string) rueidis.RedisResult {
-		return c.Do(ctx, c.B().Arbitrary(words[0]).Args(words[1:]...).Build())
+	do := func(words ...string) rueidis.RedisResult {
+		return client.Do(ctx, client.B().Arbitrary(words[0]).Args(words[1:]...).Build())
 	}
-	if v, err := ask("SIGN.SUBMIT", "k", "img").ToString(); err != nil || v != "did k" {
+	if v, err := do("SIGN.SUBMIT", "k", "img").ToString(); err != nil || v != "did k" {
 		t.Fatal(v, err)
 	}
-	before := s.seen()
+	before := fake.callCount()
 	for _, words := range [][]string{{"JOB.STATUS", "refuse"}, {"SIGN.SUBMIT", "k", "fail"}} {
-		if err := ask(words...).Error(); err == nil {
+		if err := do(words...).Error(); err == nil {
 			t.Fatal(words)
 		}
 	}
-	if n := s.seen() - before; n != 2 {
+	if n := fake.callCount() - before; n != 2 {
 		t.Fatalf("core received %d commands for two calls", n)
 	}
 	done := make(chan error, 1)
-	go func() { done <- ask("SIGN.SUBMIT", "k", "hold").Error() }()
-	(<-s.held).Tag.(*pending).conn.c.Close()
+	go func() { done <- do("SIGN.SUBMIT", "k", "hold").Error() }()
+	(<-fake.held).Tag.(*pendingCommand).conn.socket.Close()
 	if err := <-done; err == nil {
 		t.Fatal("no error though the connection broke")
 	}
-	if n := s.seen() - before; n != 3 {
+	if n := fake.callCount() - before; n != 3 {
 		t.Fatalf("core received %d commands, want 3: the command of the broken connection was sent again", n)
 	}
 }
 
 // Clients that connect and disconnect leave no descriptor and no connection behind.
-func TestNothingLeaks(t *testing.T) {
-	srv, _, addr := start(t, nil)
+func TestNoLeaks(t *testing.T) {
+	srv, _, addr := startServer(t, nil)
 	connect(t, addr, true).Close()
-	wait(t, func() bool { return srv.Counts().Open == 0 })
-	before := descriptors(t)
+	waitFor(t, func() bool { return srv.Counts().Open == 0 })
+	before := openDescriptors(t)
 	for range 200 {
-		k := connect(t, addr, true)
-		k.send("JOB.STATUS hold\r\n")
-		k.Close()
+		client := connect(t, addr, true)
+		client.send("JOB.STATUS hold\r\n")
+		client.Close()
 	}
-	wait(t, func() bool { return srv.Counts().Open == 0 && descriptors(t) <= before })
+	waitFor(t, func() bool { return srv.Counts().Open == 0 && openDescriptors(t) <= before })
 }
 
-func descriptors(t *testing.T) int {
+// openDescriptors returns the number of this process's open file descriptors.
+func openDescriptors(t *testing.T) int {
 	list, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		t.Skip("no /proc here")
--- a/internal/front/input.go
+++ b/internal/front/input.go
@@ -8,150 +8,153 @@
 	"cometpond/internal/resp"
 )
 
-// passAfter is how long a connection waits for memory until no other may overtake it, in seconds.
-const passAfter = 2
+// overtakeLimitS is how long a connection waits for memory until no other may overtake it, in seconds.
+const overtakeLimitS = 2
 
-// stranger requests memory for the input of a connection that has not logged in.
-func (srv *Server) stranger(k *conn, bytes int) intake.Verdict {
-	srv.poolMu.Lock()
-	defer srv.poolMu.Unlock()
-	return srv.pool.Stranger(k.id, bytes)
+// reserveBeforeLogin requests memory for the input of a connection that has not logged in.
+func (srv *Server) reserveBeforeLogin(conn *clientConn, bytes int) intake.Verdict {
+	srv.inputMu.Lock()
+	defer srv.inputMu.Unlock()
+	return srv.inputPool.Stranger(conn.id, bytes)
 }
 
-// ask requests memory for the input of a connection that has logged in.
-func (srv *Server) ask(k *conn, bytes int) intake.Verdict {
-	srv.poolMu.Lock()
-	defer srv.poolMu.Unlock()
-	v, others := srv.pool.Ask(seconds(), k.id, bytes)
-	if v == intake.Wait {
-		srv.asking[k.id] = k
+// reserveInput requests memory for the input of a connection that has logged in.
+func (srv *Server) reserveInput(conn *clientConn, bytes int) intake.Verdict {
+	srv.inputMu.Lock()
+	defer srv.inputMu.Unlock()
+	verdict, others := srv.inputPool.Ask(nowS(), conn.id, bytes)
+	if verdict == intake.Wait {
+		srv.awaitingInput[conn.id] = conn
 	}
-	srv.granted(others)
-	return v
+	srv.resumeGranted(others)
+	return verdict
 }
 
-// done returns a connection's memory to the pool.
-func (srv *Server) done(k *conn) {
-	srv.poolMu.Lock()
-	defer srv.poolMu.Unlock()
-	srv.granted(srv.pool.Done(seconds(), k.id))
+// releaseInput returns a connection's memory to the pool.
+func (srv *Server) releaseInput(conn *clientConn) {
+	srv.inputMu.Lock()
+	defer srv.inputMu.Unlock()
+	srv.resumeGranted(srv.inputPool.Done(nowS(), conn.id))
 }
 
-// leave removes a connection from the pool, with the memory that it holds and any request for more.
-func (srv *Server) leave(k *conn) {
-	srv.poolMu.Lock()
-	defer srv.poolMu.Unlock()
-	delete(srv.asking, k.id)
-	srv.granted(srv.pool.Leave(seconds(), k.id))
+// removeFromPool removes a connection from the pool, with the memory that it holds and any request for more.
+func (srv *Server) removeFromPool(conn *clientConn) {
+	srv.inputMu.Lock()
+	defer srv.inputMu.Unlock()
+	delete(srv.awaitingInput, conn.id)
+	srv.resumeGranted(srv.inputPool.Leave(nowS(), conn.id))
 }
 
-// granted notifies connections, each on its own loop, that the pool has granted their requests. The caller holds poolMu.
-func (srv *Server) granted(ids []uint64) {
+// resumeGranted notifies connections, each on its own loop, that the pool has granted their requests. The caller holds inputMu.
+func (srv *Server) resumeGranted(ids []uint64) {
 	for _, id := range ids {
-		k := srv.asking[id]
-		delete(srv.asking, id)
-		if k != nil {
-			_ = k.loop.el.Execute(func() { k.loop.goOn(k) }) // an error means that the loops are ending
+		conn := srv.awaitingInput[id]
+		delete(srv.awaitingInput, id)
+		if conn != nil {
+			_ = conn.loop.eventLoop.Execute(func() { conn.loop.inputGranted(conn) }) // an error means that the loops are ending
 		}
 	}
 }
 
-// goOn resumes a connection whose request for memory was granted.
-func (l *loop) goOn(k *conn) {
-	if k.closed {
-		l.s.leave(k) // it was closed while the notification was on its way
+// inputGranted resumes a connection whose request for memory was granted.
+func (loop *connLoop) inputGranted(conn *clientConn) {
+	if conn.closed {
+		loop.server.removeFromPool(conn) // it was closed while the notification was on its way
 		return
 	}
-	k.waits = false
-	k.granted = max(len(k.in), k.need)
-	if !k.partial.IsZero() {
-		k.partial = time.Now()
+	conn.awaitingMemory = false
+	conn.grantedBytes = max(len(conn.input), conn.minInput)
+	if !conn.incompleteSince.IsZero() {
+		conn.incompleteSince = time.Now()
 	}
-	l.act(k, k.resume())
+	loop.apply(conn, conn.resume())
 }
 
-// Limits of the input that one connection may hold, in bytes but for strangerArgs.
+// Limits of the input that one connection may hold, in bytes but for maxArgsBeforeLogin.
 const (
-	chunkMost    = 16 << 10 // size of one read, which arrives before any limit can be applied
-	strangerMost = 16 << 10 // size of a command before login
-	strangerArgs = 10       // arguments of a command before login
-	aheadMost    = 4 << 20  // a command, or commands pipelined ahead of replies, in excess of one argument of the maximum size
+	readBufferBytes     = 16 << 10 // size of one read, which arrives before any limit can be applied
+	maxBytesBeforeLogin = 16 << 10 // size of a command before login
+	maxArgsBeforeLogin  = 10       // arguments of a command before login
+	// Size of a command, or of commands pipelined ahead of replies, in excess of one argument of the maximum size.
+	maxPipelinedBytes = 4 << 20
 )
 
 // limits returns the limits of the next command.
-func (k *conn) limits() resp.Limits {
-	if k.client == nil {
-		return strangerLimits
+func (conn *clientConn) limits() resp.Limits {
+	if conn.client == nil {
+		return limitsBeforeLogin
 	}
-	return k.loop.s.lim
+	return conn.loop.server.parserLimits
 }
 
-var strangerLimits = resp.Limits{Bulk: strangerMost, Args: strangerArgs, Inline: strangerMost, Depth: 1, Command: strangerMost}
+// limitsBeforeLogin are the limits of commands from clients that have not logged in.
+var limitsBeforeLogin = resp.Limits{Bulk: maxBytesBeforeLogin, Args: maxArgsBeforeLogin, Inline: maxBytesBeforeLogin, Depth: 1,
+	Command: maxBytesBeforeLogin}
 
-// hold requests memory for the input that is left, and pauses reading from the connection if it is not granted.
-func (k *conn) hold() eventloop.Action {
-	s := k.loop.s
-	if k.client == nil {
-		if k.strange = len(k.in); s.stranger(k, len(k.in)) == intake.Cut {
-			s.cut.Add(1)
-			k.because(badInput)
-			k.in, k.quit = nil, true
-			k.say(func(b []byte) []byte {
+// reserveInput requests memory for the input that is left, and pauses reading from the connection if it is not granted.
+func (conn *clientConn) reserveInput() eventloop.Action {
+	srv := conn.loop.server
+	if conn.client == nil {
+		if conn.bytesBeforeLogin = len(conn.input); srv.reserveBeforeLogin(conn, len(conn.input)) == intake.Cut {
+			srv.terminated.Add(1)
+			conn.setReason(protocolViolation)
+			conn.input, conn.closing = nil, true
+			conn.replyWith(func(b []byte) []byte {
 				return resp.AppendError(b, "ERR too much input of clients that have not logged in")
 			})
-			if act := k.loop.write(k); act != eventloop.None {
-				return act
+			if action := conn.loop.writeOutput(conn); action != eventloop.None {
+				return action
 			}
-			return k.pump()
+			return conn.writeReplies()
 		}
 		return eventloop.None
 	}
-	if k.strange > 0 {
-		k.strange = 0
-		s.stranger(k, 0)
+	if conn.bytesBeforeLogin > 0 {
+		conn.bytesBeforeLogin = 0
+		srv.reserveBeforeLogin(conn, 0)
 	}
-	want := max(len(k.in), k.need)
+	needed := max(len(conn.input), conn.minInput)
 	switch {
-	case want <= chunkMost:
-		if k.granted > 0 {
-			k.granted = 0
-			s.done(k)
+	case needed <= readBufferBytes:
+		if conn.grantedBytes > 0 {
+			conn.grantedBytes = 0
+			srv.releaseInput(conn)
 		}
 		return eventloop.None
-	case k.paused:
-		return k.park()
-	case want <= k.granted:
+	case conn.parsingPaused:
+		return conn.pauseReading()
+	case needed <= conn.grantedBytes:
 		return eventloop.None
 	}
-	if s.ask(k, want) == intake.Go {
-		k.granted = want
-		if k.need > cap(k.in) {
-			k.in = append(make([]byte, 0, k.need), k.in...)
+	if srv.reserveInput(conn, needed) == intake.Go {
+		conn.grantedBytes = needed
+		if conn.minInput > cap(conn.input) {
+			conn.input = append(make([]byte, 0, conn.minInput), conn.input...)
 		}
 		return eventloop.None
 	}
-	k.waits = true
-	return k.park()
+	conn.awaitingMemory = true
+	return conn.pauseReading()
 }
 
-// park pauses reading from the connection, so that TCP flow control makes the client wait.
-func (k *conn) park() eventloop.Action {
-	k.parked, k.ready = true, k.head
-	k.loop.s.parks.Add(1)
-	k.c.PauseReading()
+// pauseReading pauses reading from the connection, so that TCP flow control makes the client wait.
+func (conn *clientConn) pauseReading() eventloop.Action {
+	conn.readingPaused, conn.firstUnanswered = true, conn.firstPending
+	conn.loop.server.readsPaused.Add(1)
+	conn.socket.PauseReading()
 	return eventloop.None
 }
 
-// unpark resumes reading from the connection.
-func (k *conn) unpark() eventloop.Action {
-	k.parked = false
-	k.c.ResumeReading()
-	k.looked(true)
-	if !k.partial.IsZero() {
-		k.partial = time.Now() // the delay was not the client's
+// resumeReading resumes reading from the connection.
+func (conn *clientConn) resumeReading() eventloop.Action {
+	conn.readingPaused = false
+	conn.socket.ResumeReading()
+	conn.recordInputAge(true)
+	if !conn.incompleteSince.IsZero() {
+		conn.incompleteSince = time.Now() // the delay was not the client's
 	}
-	if act := k.pump(); act != eventloop.None || k.congested {
-		return act
+	if action := conn.writeReplies(); action != eventloop.None || conn.congested {
+		return action
 	}
-	return k.again()
+	return conn.parseBuffered()
 }
--- a/internal/front/linger_test.go
+++ b/internal/front/linger_test.go
@@ -12,20 +12,20 @@
 	"cometpond/internal/core"
 )
 
-const hold = "*1\r\n$4\r\nhold\r\n"
+const holdCommand = "*1\r\n$4\r\nhold\r\n"
 
-// inLoop runs f on the event loop, for the only connection of the server.
-func inLoop(t *testing.T, srv *Server, f func(l *loop, k *conn)) {
+// runInLoop runs f on the event loop, for the only connection of the server.
+func runInLoop(t *testing.T, srv *Server, f func(loop *connLoop, conn *clientConn)) {
 	t.Helper()
-	var loops []*loop
-	for _, l := range srv.loops {
-		loops = append(loops, l)
+	var loops []*connLoop
+	for _, loop := range srv.loops {
+		loops = append(loops, loop)
 	}
 	done := make(chan struct{})
-	err := loops[0].el.Execute(func() {
+	err := loops[0].eventLoop.Execute(func() {
 		defer close(done)
-		for k := range loops[0].conns {
-			f(loops[0], k)
+		for conn := range loops[0].conns {
+			f(loops[0], conn)
 		}
 	})
 	if err != nil {
@@ -34,157 +34,162 @@
 	<-done
 }
 
-// lies waits, on the event loop, until the client's data has arrived in the socket.
-func lies(k *conn) {
-	for end := time.Now().Add(10 * time.Second); !k.c.Unread() && time.Now().Before(end); {
+// waitForInput waits, on the event loop, until the client's data has arrived in the socket.
+func waitForInput(conn *clientConn) {
+	for end := time.Now().Add(10 * time.Second); !conn.socket.Unread() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// write sends text.
-func (k *raw) write(text string) {
-	k.t.Helper()
-	if _, err := k.Write([]byte(text)); err != nil {
-		k.t.Fatal(err)
+// write sends a text without reading a reply.
+func (client *testClient) write(text string) {
+	client.t.Helper()
+	if _, err := client.Write([]byte(text)); err != nil {
+		client.t.Fatal(err)
 	}
 }
 
-// finishes expects the text want and then a regular end of the connection, not a reset.
-func (k *raw) finishes(want string) {
-	k.t.Helper()
-	if rest, err := io.ReadAll(k.r); err != nil || string(rest) != want {
-		k.t.Errorf("got %q, %v before the end of the connection, want %q and no reset", rest, err, want)
+// expectEOF reads up to the end of the connection, which must not be a reset, and expects the text want before it.
+func (client *testClient) expectEOF(want string) {
+	client.t.Helper()
+	if rest, err := io.ReadAll(client.reader); err != nil || string(rest) != want {
+		client.t.Errorf("got %q, %v before the end of the connection, want %q and no reset", rest, err, want)
 	}
 }
 
 // A request is in the socket when its idle connection is due to be closed: it is served, and the connection stays open.
-func TestRequestInTheInstantOfAnIdleClose(t *testing.T) {
-	bounds, world := openWorld(16)
-	srv, _, addr := startWith(t, bounds, world)
-	k := visitor(t, addr)
-	k.says(say, "+said\r\n")
-	inLoop(t, srv, func(l *loop, c *conn) {
-		k.write(say)
-		lies(c)
-		c.guest.LastS = -1e9 // idle for a very long time
-		l.sweep()
+func TestRequestJustBeforeIdleClose(t *testing.T) {
+	limits, options := withoutLogin(16)
+	srv, _, addr := startServerWith(t, limits, options)
+	client := dialClient(t, addr)
+	client.expectLine(sayCommand, "+said\r\n")
+	runInLoop(t, srv, func(loop *connLoop, conn *clientConn) {
+		client.write(sayCommand)
+		waitForInput(conn)
+		conn.usage.LastS = -1e9 // idle for a very long time
+		loop.sweep()
 	})
-	if line, err := k.r.ReadString('\n'); line != "+said\r\n" {
+	if line, err := client.reader.ReadString('\n'); line != "+said\r\n" {
 		t.Errorf("%q, %v", line, err)
 	}
 }
 
 // A request arrives just after its idle connection was closed: it is discarded and never submitted, and the client sees an
 // end of the connection and no reset, so it can send the request elsewhere.
-func TestRequestBehindAnIdleClose(t *testing.T) {
-	bounds, world := openWorld(16)
-	srv, s, addr := startWith(t, bounds, world)
-	k := visitor(t, addr)
-	k.says("*1\r\n$2\r\nGO\r\n", "+did GO\r\n")
-	inLoop(t, srv, func(l *loop, c *conn) {
-		c.guest.LastS = -1e9
-		l.sweep()
-		k.write("*1\r\n$2\r\nGO\r\n")
-		lies(c)
+func TestRequestJustAfterIdleClose(t *testing.T) {
+	limits, options := withoutLogin(16)
+	srv, fake, addr := startServerWith(t, limits, options)
+	client := dialClient(t, addr)
+	client.expectLine("*1\r\n$2\r\nGO\r\n", "+did GO\r\n")
+	runInLoop(t, srv, func(loop *connLoop, conn *clientConn) {
+		conn.usage.LastS = -1e9
+		loop.sweep()
+		client.write("*1\r\n$2\r\nGO\r\n")
+		waitForInput(conn)
 	})
-	k.finishes("")
-	if n := s.seen(); n != 1 {
+	client.expectEOF("")
+	if n := fake.callCount(); n != 1 {
 		t.Errorf("%d requests submitted, want only the first", n)
 	}
-	k.Close()
-	wait(t, func() bool { return srv.OpenConnections() == 0 && srv.lingering.Load() == 0 })
+	client.Close()
+	waitFor(t, func() bool { return srv.OpenConnections() == 0 && srv.lingering.Load() == 0 })
 }
 
 // A malformed command is followed by far more input than one read takes: the client gets the whole error and a regular end
 // of the connection.
-func TestErrorWithInputBehindIt(t *testing.T) {
-	_, _, addr := startWith(t, nil, func(o *Options) { o.Handler, o.Loops = echo{}, 1 })
-	k := visitor(t, addr)
-	k.write("*9\r\n" + strings.Repeat("x", 100<<10))
-	line, err := k.r.ReadString('\n')
+func TestErrorFollowedByInput(t *testing.T) {
+	_, _, addr := startServerWith(t, nil, func(options *Options) { options.Handler, options.Loops = echoHandler{}, 1 })
+	client := dialClient(t, addr)
+	client.write("*9\r\n" + strings.Repeat("x", 100<<10))
+	line, err := client.reader.ReadString('\n')
 	if err != nil || line[0] != '-' {
 		t.Errorf("%q, %v", line, err)
 	}
-	k.finishes("")
+	client.expectEOF("")
 }
 
 // A client that never stops sending, or never closes, is disconnected during the lingering close.
 func TestLingeringIsBounded(t *testing.T) {
-	srv, _, addr := startWith(t, nil, func(o *Options) { o.Handler, o.Loops = echo{}, 1 })
-	k := visitor(t, addr)
-	k.write("*9\r\n")
+	srv, _, addr := startServerWith(t, nil, func(options *Options) { options.Handler, options.Loops = echoHandler{}, 1 })
+	client := dialClient(t, addr)
+	client.write("*9\r\n")
 	var err error
 	for end := time.Now().Add(10 * time.Second); err == nil && time.Now().Before(end); {
-		_, err = k.Write(make([]byte, 64<<10))
+		_, err = client.Write(make([]byte, 64<<10))
 	}
 	if err == nil {
 		t.Error("the client may send without limit")
 	}
-	quiet := visitor(t, addr)
+	quiet := dialClient(t, addr)
 	quiet.write("*9\r\n")
-	if line, err := quiet.r.ReadString('\n'); err != nil || line[0] != '-' {
+	if line, err := quiet.reader.ReadString('\n'); err != nil || line[0] != '-' {
 		t.Errorf("%q, %v", line, err)
 	}
-	quiet.finishes("")
-	wait(t, func() bool { return srv.OpenConnections() == 0 }) // though the client does not close
+	quiet.expectEOF("")
+	waitFor(t, func() bool { return srv.OpenConnections() == 0 }) // though the client does not close
 }
 
 // The second of two commands is never completed: the first still gets its reply before the connection is closed.
-func TestUnfinishedCommandBehindAnOpenOne(t *testing.T) {
-	srv, s, addr := startWith(t, func(f *config.Front) { f.Partial = 50 * time.Millisecond }, func(o *Options) { o.Handler, o.Loops = echo{}, 1 })
-	k := visitor(t, addr)
-	k.write(hold + say[:5])
-	call := <-s.held
-	wait(t, func() bool { return srv.Counts().Terminated == 1 })
-	give(call, core.Answer{Payload: []byte("+held\r\n")})
-	k.finishes("+held\r\n")
+func TestIncompleteCommandAfterOpenRequest(t *testing.T) {
+	srv, fake, addr := startServerWith(t, func(limits *config.Front) { limits.Partial = 50 * time.Millisecond },
+		func(options *Options) { options.Handler, options.Loops = echoHandler{}, 1 })
+	client := dialClient(t, addr)
+	client.write(holdCommand + sayCommand[:5])
+	call := <-fake.held
+	waitFor(t, func() bool { return srv.Counts().Terminated == 1 })
+	answerCall(call, core.Answer{Payload: []byte("+held\r\n")})
+	client.expectEOF("+held\r\n")
 }
 
 // Requests that arrive during a shutdown, on a new connection or in the socket of an idle one, get their replies, and each
 // connection ends after its reply; one with half a command ends without a reset.
-func TestRetireCrossesRequests(t *testing.T) {
-	srv, s, addr := startWith(t, nil, func(o *Options) { o.Handler, o.Loops = echo{}, 1 })
-	idle := visitor(t, addr)
-	idle.says(say, "+said\r\n")
-	inLoop(t, srv, func(_ *loop, c *conn) {
-		idle.write(say)
-		lies(c)
+func TestShutdownCrossesRequests(t *testing.T) {
+	srv, fake, addr := startServerWith(t, nil, func(options *Options) { options.Handler, options.Loops = echoHandler{}, 1 })
+	idle := dialClient(t, addr)
+	idle.expectLine(sayCommand, "+said\r\n")
+	runInLoop(t, srv, func(_ *connLoop, conn *clientConn) {
+		idle.write(sayCommand)
+		waitForInput(conn)
 		srv.CloseWhenIdle()
 	})
-	idle.finishes("+said\r\n")
-	late := visitor(t, addr)
-	late.says(say, "+said\r\n")
-	late.finishes("")
-	half, piped := visitor(t, addr), visitor(t, addr)
-	half.write(say[:5])
-	piped.write(hold + hold)
-	first, second := <-s.held, <-s.held
-	give(first, core.Answer{Payload: []byte("+first\r\n")})
-	if line, err := piped.r.ReadString('\n'); line != "+first\r\n" {
+	idle.expectEOF("+said\r\n")
+	late := dialClient(t, addr)
+	late.expectLine(sayCommand, "+said\r\n")
+	late.expectEOF("")
+	half, piped := dialClient(t, addr), dialClient(t, addr)
+	half.write(sayCommand[:5])
+	piped.write(holdCommand + holdCommand)
+	first, second := <-fake.held, <-fake.held
+	answerCall(first, core.Answer{Payload: []byte("+first\r\n")})
+	if line, err := piped.reader.ReadString('\n'); line != "+first\r\n" {
 		t.Errorf("%q, %v", line, err)
 	}
-	give(second, core.Answer{Payload: []byte("+second\r\n")})
-	piped.finishes("+second\r\n")
-	parted := make(chan struct{})
-	go func() { defer close(parted); srv.part(context.Background()) }()
-	half.finishes("")
-	<-parted
+	answerCall(second, core.Answer{Payload: []byte("+second\r\n")})
+	piped.expectEOF("+second\r\n")
+	allClosed := make(chan struct{})
+	go func() { defer close(allClosed); srv.closeAll(context.Background()) }()
+	half.expectEOF("")
+	<-allClosed
 }
 
 // A client disconnects while reading is paused and input before the end is unread: all its open requests are cancelled, and
 // the unread ones are not submitted.
-func TestLeavesWhileParked(t *testing.T) {
-	srv, s, addr := startWith(t, func(f *config.Front) { f.Pipeline = 10 }, func(o *Options) { o.Handler, o.Loops, o.CloseOnClientEOF = echo{}, 1, true })
-	for _, leave := range []func(k *raw) error{(*raw).Close, func(k *raw) error { return k.Conn.(*net.TCPConn).CloseWrite() }} {
-		parked, asked, left := srv.Counts().ReadsPaused, s.seen(), s.left()
-		k := visitor(t, addr)
-		k.write(strings.Repeat(hold, 10) + strings.Repeat(say, 2000)) // no more than the socket buffers hold: an end of the connection after more than that would not be sent
-		wait(t, func() bool { return srv.Counts().ReadsPaused == parked+1 })
-		if err := leave(k); err != nil {
+func TestClientEOFWhileReadingPaused(t *testing.T) {
+	srv, fake, addr := startServerWith(t, func(limits *config.Front) { limits.Pipeline = 10 }, func(options *Options) {
+		options.Handler, options.Loops, options.CloseOnClientEOF = echoHandler{}, 1, true
+	})
+	for _, disconnect := range []func(client *testClient) error{(*testClient).Close,
+		func(client *testClient) error { return client.Conn.(*net.TCPConn).CloseWrite() }} {
+		paused, submitted, gone := srv.Counts().ReadsPaused, fake.callCount(), fake.goneCount()
+		client := dialClient(t, addr)
+		// No more than the socket buffers hold: an end of the connection after more than that would not be sent.
+		client.write(strings.Repeat(holdCommand, 10) + strings.Repeat(sayCommand, 2000))
+		waitFor(t, func() bool { return srv.Counts().ReadsPaused == paused+1 })
+		if err := disconnect(client); err != nil {
 			t.Fatal(err)
 		}
-		wait(t, func() bool { return s.left() == left+10 && srv.OpenConnections() == 0 })
-		if n := s.seen() - asked; n != 10 {
+		waitFor(t, func() bool { return fake.goneCount() == gone+10 && srv.OpenConnections() == 0 })
+		if n := fake.callCount() - submitted; n != 10 {
 			t.Errorf("%d requests submitted, want 10", n)
 		}
 	}
@@ -192,37 +197,40 @@
 
 // A request whose client closes its connection, or its sending side, before the request is read is not submitted, on a new
 // connection and on an older one.
-func TestClientGoneBeforeItsRequestIsRead(t *testing.T) {
-	for _, leave := range []func(k *raw) error{(*raw).Close, func(k *raw) error { return k.Conn.(*net.TCPConn).CloseWrite() }} {
-		for _, stands := range []bool{false, true} {
-			srv, s, addr := startWith(t, nil, func(o *Options) { o.Handler, o.Loops, o.CloseOnClientEOF = echo{}, 1, true })
-			k := visitor(t, addr)
-			if stands {
-				k.says(say, "+said\r\n")
+func TestClientEOFBeforeRequestIsRead(t *testing.T) {
+	for _, disconnect := range []func(client *testClient) error{(*testClient).Close,
+		func(client *testClient) error { return client.Conn.(*net.TCPConn).CloseWrite() }} {
+		for _, established := range []bool{false, true} {
+			srv, fake, addr := startServerWith(t, nil, func(options *Options) {
+				options.Handler, options.Loops, options.CloseOnClientEOF = echoHandler{}, 1, true
+			})
+			client := dialClient(t, addr)
+			if established {
+				client.expectLine(sayCommand, "+said\r\n")
 			}
-			held, release := make(chan struct{}), make(chan struct{})
-			for el := range srv.loops {
-				if err := el.Execute(func() { close(held); <-release }); err != nil {
+			blocked, release := make(chan struct{}), make(chan struct{})
+			for eventLoop := range srv.loops {
+				if err := eventLoop.Execute(func() { close(blocked); <-release }); err != nil {
 					t.Fatal(err)
 				}
 			}
-			<-held
-			if !stands {
-				k = visitor(t, addr)
+			<-blocked
+			if !established {
+				client = dialClient(t, addr)
 			}
-			k.write("*1\r\n$2\r\nGO\r\n")
-			if err := leave(k); err != nil {
+			client.write("*1\r\n$2\r\nGO\r\n")
+			if err := disconnect(client); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(20 * time.Millisecond) // until the request and the end are in the socket
 			close(release)
 			opened := uint64(2)
-			if stands {
+			if established {
 				opened = 1
 			}
-			wait(t, func() bool { c := srv.Counts(); return c.Opened == opened && c.Open == opened-1 })
-			if n := s.seen(); n != 0 {
-				t.Errorf("%d requests submitted for a client that had disconnected; older connection: %v", n, stands)
+			waitFor(t, func() bool { counts := srv.Counts(); return counts.Opened == opened && counts.Open == opened-1 })
+			if n := fake.callCount(); n != 0 {
+				t.Errorf("%d requests submitted for a client that had disconnected; older connection: %v", n, established)
 			}
 		}
 	}
@@ -230,78 +238,78 @@
 
 // A client closes its connection after epoll has reported its request, and before the request is read: the loop is busy with
 // another client meanwhile. The request is not submitted.
-func TestClientGoneWhileOthersAreServed(t *testing.T) {
+func TestClientEOFWhileLoopIsBusy(t *testing.T) {
 	entered, release := make(chan struct{}), make(chan struct{})
-	srv, s, addr := startWith(t, nil, func(o *Options) {
-		o.Handler, o.Loops, o.CloseOnClientEOF = &slowWorld{entered: entered, release: release}, 1, true
+	srv, fake, addr := startServerWith(t, nil, func(options *Options) {
+		options.Handler, options.Loops, options.CloseOnClientEOF = &slowHandler{entered: entered, release: release}, 1, true
 	})
-	busy, leaver := visitor(t, addr), visitor(t, addr)
-	busy.says(say, "+said\r\n")
-	leaver.says(say, "+said\r\n")
-	held, go1 := make(chan struct{}), make(chan struct{})
-	for el := range srv.loops {
-		if err := el.Execute(func() { close(held); <-go1 }); err != nil {
+	busy, closer := dialClient(t, addr), dialClient(t, addr)
+	busy.expectLine(sayCommand, "+said\r\n")
+	closer.expectLine(sayCommand, "+said\r\n")
+	blocked, unblock := make(chan struct{}), make(chan struct{})
+	for eventLoop := range srv.loops {
+		if err := eventLoop.Execute(func() { close(blocked); <-unblock }); err != nil {
 			t.Fatal(err)
 		}
 	}
-	<-held
+	<-blocked
 	busy.write("*1\r\n$4\r\nSLOW\r\n")
 	time.Sleep(20 * time.Millisecond) // so that epoll reports it first
-	leaver.write("*1\r\n$2\r\nGO\r\n")
+	closer.write("*1\r\n$2\r\nGO\r\n")
 	time.Sleep(20 * time.Millisecond)
-	close(go1)
+	close(unblock)
 	<-entered
-	leaver.Close()
+	closer.Close()
 	time.Sleep(50 * time.Millisecond)
 	close(release)
-	wait(t, func() bool { return srv.OpenConnections() == 1 })
-	if n := s.seen(); n != 0 {
+	waitFor(t, func() bool { return srv.OpenConnections() == 1 })
+	if n := fake.callCount(); n != 0 {
 		t.Errorf("%d requests submitted for a client that had disconnected", n)
 	}
 }
 
-// slowWorld is echo with a command that blocks the event loop.
-type slowWorld struct {
-	echo
+// slowHandler is echoHandler with a command that blocks the event loop.
+type slowHandler struct {
+	echoHandler
 	entered, release chan struct{}
 }
 
-func (w *slowWorld) HandleCommand(c Conn, args [][]byte) {
+func (handler *slowHandler) HandleCommand(conn Conn, args [][]byte) {
 	if string(args[0]) == "SLOW" {
-		close(w.entered)
-		<-w.release
-		c.Reply([]byte("+slow\r\n"))
+		close(handler.entered)
+		<-handler.release
+		conn.Reply([]byte("+slow\r\n"))
 		return
 	}
-	w.echo.HandleCommand(c, args)
+	handler.echoHandler.HandleCommand(conn, args)
 }
 
 // A shutdown with many idle connections: on each a request crosses the end of the connection, and none is reset.
-func TestRetireCrossesAFullHouse(t *testing.T) {
-	bounds, world := openWorld(16)
-	srv, s, addr := startWith(t, bounds, world)
-	var house []*raw
+func TestShutdownWithManyIdleConnections(t *testing.T) {
+	limits, options := withoutLogin(16)
+	srv, fake, addr := startServerWith(t, limits, options)
+	var clients []*testClient
 	for range 12 { // far more than may linger while new connections are accepted
-		k := visitor(t, addr)
-		k.says(say, "+said\r\n")
-		house = append(house, k)
+		client := dialClient(t, addr)
+		client.expectLine(sayCommand, "+said\r\n")
+		clients = append(clients, client)
 	}
 	srv.CloseWhenIdle()
-	for _, k := range house { // the server has closed its side, and the request crosses that
-		if _, err := k.r.Peek(1); err != io.EOF {
+	for _, client := range clients { // the server has closed its side, and the request crosses that
+		if _, err := client.reader.Peek(1); err != io.EOF {
 			t.Errorf("got %v, want io.EOF", err)
 		}
-		k.write("*1\r\n$2\r\nGO\r\n")
-		k.write("*1\r\n$2\r\nGO\r\n") // would fail after a reset
+		client.write("*1\r\n$2\r\nGO\r\n")
+		client.write("*1\r\n$2\r\nGO\r\n") // would fail after a reset
 	}
-	for _, k := range house {
-		k.finishes("")
+	for _, client := range clients {
+		client.expectEOF("")
 	}
-	if n := s.seen(); n != 0 {
+	if n := fake.callCount(); n != 0 {
 		t.Errorf("%d requests submitted, want none", n)
 	}
-	for _, k := range house {
-		k.Close()
+	for _, client := range clients {
+		client.Close()
 	}
-	wait(t, func() bool { return srv.OpenConnections() == 0 })
+	waitFor(t, func() bool { return srv.OpenConnections() == 0 })
 }
--- a/internal/front/loop.go
+++ b/internal/front/loop.go
@@ -7,94 +7,94 @@
 	"cometpond/internal/eventloop"
 )
 
-// loop is the state of one event loop: its connections and the answers that are on their way to them. Everything but the
+// connLoop is the state of one event loop: its connections and the answers that are on their way to them. Everything but the
 // inbox is accessed on the loop's goroutine alone.
-type loop struct {
-	s     *Server
-	el    *eventloop.Loop
-	conns map[*conn]struct{}
-	buf   []byte       // replies to write to the current connection
-	calls []*core.Call // parsed from the current connection's input, not yet submitted
-	dirty []*conn      // connections with new answers
+type connLoop struct {
+	server    *Server
+	eventLoop *eventloop.Loop
+	conns     map[*clientConn]struct{}
+	output    []byte        // replies to write to the current connection
+	newCalls  []*core.Call  // parsed from the current connection's input, not yet submitted
+	updated   []*clientConn // connections with new answers
 
-	lingering []*conn // connections in a lingering close, oldest first
+	lingering []*clientConn // connections in a lingering close, oldest first
 
-	behind   []*conn // connections with replies that their sockets have not accepted yet
-	checking bool    // a check of these is scheduled
+	unsent               []*clientConn // connections with replies that their sockets have not accepted yet
+	unsentCheckScheduled bool          // a check of these is scheduled
 
-	mu    sync.Mutex   // guards inbox and up
-	inbox []*core.Call // answered calls
-	up    bool         // the loop checks inbox by itself and needs no wake-up
-	spare []*core.Call // the previous inbox, kept for its memory
+	inboxMu    sync.Mutex   // guards inbox and polling
+	inbox      []*core.Call // answered calls
+	polling    bool         // the loop checks inbox by itself and needs no wake-up
+	spareInbox []*core.Call // the previous inbox, kept to reuse the memory
 }
 
-// sleep schedules the processing of the inbox as a separate task of the event loop.
-func (l *loop) sleep() {
-	l.mu.Lock()
-	l.up = false
-	l.mu.Unlock()
-	_ = l.el.Execute(l.run) // an error means that the loops are ending, and the connections with them
+// deferInbox schedules the processing of the inbox as a separate task of the event loop.
+func (loop *connLoop) deferInbox() {
+	loop.inboxMu.Lock()
+	loop.polling = false
+	loop.inboxMu.Unlock()
+	_ = loop.eventLoop.Execute(loop.processInbox) // an error means that the loops are ending, and the connections with them
 }
 
-// awake sets whether the loop checks its inbox by itself. While the inbox is not empty it can't be switched off, and the
+// setPolling sets whether the loop checks its inbox by itself. While the inbox is not empty it can't be switched off, and the
 // result is false.
-func (l *loop) awake(on bool) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !on && len(l.inbox) > 0 {
+func (loop *connLoop) setPolling(on bool) bool {
+	loop.inboxMu.Lock()
+	defer loop.inboxMu.Unlock()
+	if !on && len(loop.inbox) > 0 {
 		return false
 	}
-	l.up = on
+	loop.polling = on
 	return true
 }
 
 // Answered receives calls that the core has answered and wakes the loop if necessary. It implements core.Front.
-func (l *loop) Answered(calls []*core.Call) {
-	l.mu.Lock()
-	first := len(l.inbox) == 0 && !l.up
-	l.inbox = append(l.inbox, calls...)
-	l.mu.Unlock()
-	if first {
-		_ = l.el.Execute(l.run) // an error means that the loops are ending, and the connections with them
+func (loop *connLoop) Answered(calls []*core.Call) {
+	loop.inboxMu.Lock()
+	wake := len(loop.inbox) == 0 && !loop.polling
+	loop.inbox = append(loop.inbox, calls...)
+	loop.inboxMu.Unlock()
+	if wake {
+		_ = loop.eventLoop.Execute(loop.processInbox) // an error means that the loops are ending, and the connections with them
 	}
 }
 
-// run takes the answers from the inbox and writes the replies to their connections.
-func (l *loop) run() {
-	l.mu.Lock()
-	batch := l.inbox
-	l.inbox = l.spare[:0]
-	l.mu.Unlock()
-	for _, c := range batch {
-		p := c.Tag.(*pending)
-		p.done = true
-		if k := p.conn; !k.dirty && !k.closed {
-			k.dirty = true
-			l.dirty = append(l.dirty, k)
+// processInbox takes the answers from the inbox and writes the replies to their connections.
+func (loop *connLoop) processInbox() {
+	loop.inboxMu.Lock()
+	batch := loop.inbox
+	loop.inbox = loop.spareInbox[:0]
+	loop.inboxMu.Unlock()
+	for _, call := range batch {
+		command := call.Tag.(*pendingCommand)
+		command.done = true
+		if conn := command.conn; !conn.updated && !conn.closed {
+			conn.updated = true
+			loop.updated = append(loop.updated, conn)
 		}
 	}
 	clear(batch)
-	l.spare = batch
-	for _, k := range l.dirty {
-		k.dirty = false
-		if k.closed {
+	loop.spareInbox = batch
+	for _, conn := range loop.updated {
+		conn.updated = false
+		if conn.closed {
 			continue
 		}
-		l.act(k, k.resume())
+		loop.apply(conn, conn.resume())
 	}
-	clear(l.dirty)
-	l.dirty = l.dirty[:0]
+	clear(loop.updated)
+	loop.updated = loop.updated[:0]
 }
 
-// act applies the action that resulted from work on a connection outside the callbacks of the event loop.
-func (l *loop) act(k *conn, act eventloop.Action) {
-	if act == eventloop.Close {
-		l.el.Close(k.c)
+// apply applies the action that resulted from work on a connection outside the callbacks of the event loop.
+func (loop *connLoop) apply(conn *clientConn, action eventloop.Action) {
+	if action == eventloop.Close {
+		loop.eventLoop.Close(conn.socket)
 	}
 }
 
-// cut closes a connection immediately.
-func (l *loop) cut(k *conn, reason closeReason) {
-	k.because(reason)
-	l.el.Close(k.c)
+// closeConn closes a connection immediately.
+func (loop *connLoop) closeConn(conn *clientConn, reason closeReason) {
+	conn.setReason(reason)
+	loop.eventLoop.Close(conn.socket)
 }
--- a/internal/front/output.go
+++ b/internal/front/output.go
@@ -10,178 +10,179 @@
 	"cometpond/internal/resp"
 )
 
-// fellBehind schedules repeated checks whether a client has read: a socket that is not watched reports no events.
-func (l *loop) fellBehind(k *conn) {
-	l.behind = append(l.behind, k)
-	if !l.checking {
-		l.check()
+// trackUnsent schedules repeated checks whether a client has read: a socket that is not watched reports no events.
+func (loop *connLoop) trackUnsent(conn *clientConn) {
+	loop.unsent = append(loop.unsent, conn)
+	if !loop.unsentCheckScheduled {
+		loop.scheduleUnsentCheck()
 	}
 }
 
-// check schedules the next check of connections with unsent replies.
-func (l *loop) check() {
-	l.checking = true
-	l.el.After(behindCheck, l.relieve)
+// scheduleUnsentCheck schedules the next check of connections with unsent replies.
+func (loop *connLoop) scheduleUnsentCheck() {
+	loop.unsentCheckScheduled = true
+	loop.eventLoop.After(unsentCheckInterval, loop.retryUnsent)
 }
 
-// relieve continues writing to clients that have read, and closes connections that have accepted nothing for too long.
-func (l *loop) relieve() {
-	list := l.behind
-	l.behind, l.checking = nil, false
-	for _, k := range list {
-		if k.closed {
+// retryUnsent continues writing to clients that have read, and closes connections that have accepted nothing for too long.
+func (loop *connLoop) retryUnsent() {
+	conns := loop.unsent
+	loop.unsent, loop.unsentCheckScheduled = nil, false
+	for _, conn := range conns {
+		if conn.closed {
 			continue
 		}
-		n, err := k.c.Send(k.out)
-		if n > 0 {
-			k.leftSince = time.Now()
-			k.out = k.out[:copy(k.out, k.out[n:])]
+		sent, err := conn.socket.Send(conn.unsent)
+		if sent > 0 {
+			conn.unsentSince = time.Now()
+			conn.unsent = conn.unsent[:copy(conn.unsent, conn.unsent[sent:])]
 		}
-		if k.congested = len(k.out) > min(congestMost, l.s.opt.Limits.Output/2); len(k.out) > 0 {
-			l.behind = append(l.behind, k)
+		if conn.congested = len(conn.unsent) > min(maxUnsentBytes, loop.server.options.Limits.Output/2); len(conn.unsent) > 0 {
+			loop.unsent = append(loop.unsent, conn)
 		} else {
-			k.out = nil
+			conn.unsent = nil
 		}
-		if err != nil || len(k.out) > 0 && time.Since(k.leftSince) > l.s.opt.Limits.Partial {
-			l.s.cut.Add(1)
-			if k.endError = err; err != nil {
-				k.because(writeFailed)
+		if err != nil || len(conn.unsent) > 0 && time.Since(conn.unsentSince) > loop.server.options.Limits.Partial {
+			loop.server.terminated.Add(1)
+			if conn.closeError = err; err != nil {
+				conn.setReason(writeFailed)
 			}
-			l.cut(k, answersUnread)
-		} else if !k.congested {
-			l.act(k, k.resume())
+			loop.closeConn(conn, repliesUnread)
+		} else if !conn.congested {
+			loop.apply(conn, conn.resume())
 		}
 	}
-	if len(l.behind) > 0 && !l.checking {
-		l.check()
+	if len(loop.unsent) > 0 && !loop.unsentCheckScheduled {
+		loop.scheduleUnsentCheck()
 	}
 }
 
-// say replies to a command without the core. The reply is written after those to earlier commands.
-func (k *conn) say(put func([]byte) []byte) {
-	if k.waiting() == 0 {
-		k.loop.buf = put(k.loop.buf)
+// replyWith replies to a command without the core. The reply is written after those to earlier commands.
+func (conn *clientConn) replyWith(put func([]byte) []byte) {
+	if conn.pendingCount() == 0 {
+		conn.loop.output = put(conn.loop.output)
 		return
 	}
-	k.queue = append(k.queue, &pending{conn: k, ready: put(nil), done: true})
+	conn.pending = append(conn.pending, &pendingCommand{conn: conn, reply: put(nil), done: true})
 }
 
-// fail replies to a command with an error.
-func (k *conn) fail(text string) {
-	k.say(func(b []byte) []byte { return resp.AppendError(b, text) })
+// replyError replies to a command with an error.
+func (conn *clientConn) replyError(text string) {
+	conn.replyWith(func(b []byte) []byte { return resp.AppendError(b, text) })
 }
 
 // Limits of output.
 const (
-	outputBatch = 64 << 10             // bytes of replies gathered before they are written
-	congestMost = 256 << 10            // unsent bytes above which no more replies are written; at most half of the configured limit
-	behindCheck = 2 * time.Millisecond // between two checks of clients that do not read as fast as replies are written
+	outputBatchBytes = 64 << 10 // replies gathered before they are written
+	// Unsent replies above which no more are written until the client has read; half of Limits.Output if that is less.
+	maxUnsentBytes      = 256 << 10
+	unsentCheckInterval = 2 * time.Millisecond // between two checks of clients that do not read as fast as replies are written
 )
 
-// write sends the replies in the loop's buffer. What the socket does not accept is kept in k.out. Above a limit no more
-// replies are written until the client has read.
-func (l *loop) write(k *conn) eventloop.Action {
-	if len(l.buf) == 0 {
+// writeOutput sends the replies in the loop's buffer. What the socket does not accept is kept in conn.unsent. Above a limit no
+// more replies are written until the client has read.
+func (loop *connLoop) writeOutput(conn *clientConn) eventloop.Action {
+	if len(loop.output) == 0 {
 		return eventloop.None
 	}
-	b := l.buf
-	if len(k.out) == 0 {
-		n, err := k.c.Send(b)
+	data := loop.output
+	if len(conn.unsent) == 0 {
+		sent, err := conn.socket.Send(data)
 		if err != nil {
-			l.buf = l.buf[:0]
-			k.because(writeFailed)
-			k.endError = err
+			loop.output = loop.output[:0]
+			conn.setReason(writeFailed)
+			conn.closeError = err
 			return eventloop.Close
 		}
-		b = b[n:]
+		data = data[sent:]
 	}
-	if len(b) > 0 {
-		if len(k.out) == 0 {
-			k.leftSince = time.Now()
-			l.fellBehind(k)
+	if len(data) > 0 {
+		if len(conn.unsent) == 0 {
+			conn.unsentSince = time.Now()
+			loop.trackUnsent(conn)
 		}
-		k.out = append(k.out, b...)
-		k.congested = len(k.out) > min(congestMost, l.s.opt.Limits.Output/2)
+		conn.unsent = append(conn.unsent, data...)
+		conn.congested = len(conn.unsent) > min(maxUnsentBytes, loop.server.options.Limits.Output/2)
 	}
-	l.buf = l.buf[:0]
-	if cap(l.buf) > 1<<20 {
-		l.buf = nil
+	loop.output = loop.output[:0]
+	if cap(loop.output) > 1<<20 {
+		loop.output = nil
 	}
 	return eventloop.None
 }
 
-// pump writes the replies that are ready, in the order of their commands.
-func (k *conn) pump() eventloop.Action {
-	l := k.loop
-	if k.head < len(k.queue) && k.queue[k.head].done {
-		k.guest.LastS = seconds()
+// writeReplies writes the replies that are ready, in the order of their commands.
+func (conn *clientConn) writeReplies() eventloop.Action {
+	loop := conn.loop
+	if conn.firstPending < len(conn.pending) && conn.pending[conn.firstPending].done {
+		conn.usage.LastS = nowS()
 	}
-	for k.head < len(k.queue) && k.queue[k.head].done && !k.congested {
-		l.buf = k.append(l.buf, k.queue[k.head])
-		k.queue[k.head] = nil
-		k.head++
-		if len(l.buf) >= outputBatch {
-			if act := l.write(k); act != eventloop.None {
-				return act
+	for conn.firstPending < len(conn.pending) && conn.pending[conn.firstPending].done && !conn.congested {
+		loop.output = conn.appendReply(loop.output, conn.pending[conn.firstPending])
+		conn.pending[conn.firstPending] = nil
+		conn.firstPending++
+		if len(loop.output) >= outputBatchBytes {
+			if action := loop.writeOutput(conn); action != eventloop.None {
+				return action
 			}
 		}
 	}
-	if k.head == len(k.queue) {
-		k.queue, k.head = k.queue[:0], 0
-	} else if k.head > 256 && k.head > len(k.queue)/2 {
-		n := copy(k.queue, k.queue[k.head:])
-		clear(k.queue[n:])
-		k.queue, k.head = k.queue[:n], 0
+	if conn.firstPending == len(conn.pending) {
+		conn.pending, conn.firstPending = conn.pending[:0], 0
+	} else if conn.firstPending > 256 && conn.firstPending > len(conn.pending)/2 {
+		n := copy(conn.pending, conn.pending[conn.firstPending:])
+		clear(conn.pending[n:])
+		conn.pending, conn.firstPending = conn.pending[:n], 0
 	}
-	if act := l.write(k); act != eventloop.None {
-		return act
+	if action := loop.writeOutput(conn); action != eventloop.None {
+		return action
 	}
 	switch {
-	case k.quit && k.waiting() == 0 && len(k.out) == 0:
-		return l.finish(k, asked)
-	case l.s.retiring.Load() && k.guest.Asked > 0 && k.idle() && !k.c.Unread():
-		return l.finish(k, shuttingDown)
+	case conn.closing && conn.pendingCount() == 0 && len(conn.unsent) == 0:
+		return loop.closeGracefully(conn, closeRequested)
+	case loop.server.closingIdle.Load() && conn.usage.Asked > 0 && conn.idle() && !conn.socket.Unread():
+		return loop.closeGracefully(conn, shuttingDown)
 	}
 	return eventloop.None
 }
 
-// append appends the reply to one command.
-func (k *conn) append(b []byte, p *pending) []byte {
-	a := &p.call.Answer
+// appendReply appends the reply to one command.
+func (conn *clientConn) appendReply(dst []byte, command *pendingCommand) []byte {
+	answer := &command.call.Answer
 	switch {
-	case p.ready != nil:
-		return append(b, p.ready...)
-	case k.loop.s.opt.Handler != nil:
-		return k.loop.s.opt.Handler.AppendReply(b, &p.call)
-	case a.Kind == core.Served && k.version == 2 && len(a.Payload) > 0 && !old(a.Payload[0]):
-		return resp.AppendDowngraded(b, a.Payload, k.loop.s.lim)
-	case a.Kind == core.Served:
-		return append(b, a.Payload...)
-	case p.call.Limit && (a.Kind == core.Admitted || a.Kind == core.Refused && a.Reason == core.NoRoom):
-		return appendThrottle(b, a, p.call.Units)
-	case a.Kind == core.Refused && a.RetryS > 0:
-		return resp.AppendError(b, "REFUSED retry in "+strconv.FormatFloat(a.RetryS, 'f', 3, 64)+" s: "+a.Why)
-	case a.Kind == core.Refused:
-		return resp.AppendError(b, "REFUSED "+a.Why)
+	case command.reply != nil:
+		return append(dst, command.reply...)
+	case conn.loop.server.options.Handler != nil:
+		return conn.loop.server.options.Handler.AppendReply(dst, &command.call)
+	case answer.Kind == core.Served && conn.respVersion == 2 && len(answer.Payload) > 0 && !isRESP2Type(answer.Payload[0]):
+		return resp.AppendDowngraded(dst, answer.Payload, conn.loop.server.parserLimits)
+	case answer.Kind == core.Served:
+		return append(dst, answer.Payload...)
+	case command.call.Limit && (answer.Kind == core.Admitted || answer.Kind == core.Refused && answer.Reason == core.NoRoom):
+		return appendThrottle(dst, answer, command.call.Units)
+	case answer.Kind == core.Refused && answer.RetryS > 0:
+		return resp.AppendError(dst, "REFUSED retry in "+strconv.FormatFloat(answer.RetryS, 'f', 3, 64)+" s: "+answer.Why)
+	case answer.Kind == core.Refused:
+		return resp.AppendError(dst, "REFUSED "+answer.Why)
 	}
-	return resp.AppendError(b, "FAILED "+a.Why)
+	return resp.AppendError(dst, "FAILED "+answer.Why)
 }
 
-// old reports whether a reply type exists in RESP version 2 and is no aggregate, which may contain other types.
-func old(kind byte) bool { return kind == '+' || kind == '-' || kind == ':' || kind == '$' }
+// isRESP2Type reports whether a reply type exists in RESP version 2 and is no aggregate, which may contain other types.
+func isRESP2Type(kind byte) bool { return kind == '+' || kind == '-' || kind == ':' || kind == '$' }
 
 // appendThrottle appends the five numbers of a reply to CL.THROTTLE: whether the request was limited, the limit, the remaining
 // units, and the whole seconds until a retry makes sense (-1 if the request was admitted) and until the quota is full again.
-func appendThrottle(b []byte, a *core.Answer, units float64) []byte {
+func appendThrottle(dst []byte, answer *core.Answer, units float64) []byte {
 	limited, retry := int64(0), int64(-1)
-	if a.Kind == core.Refused && units > 0 {
-		limited, retry = 1, max(1, int64(math.Ceil(a.Quota.RetryS)))
+	if answer.Kind == core.Refused && units > 0 {
+		limited, retry = 1, max(1, int64(math.Ceil(answer.Quota.RetryS)))
 	}
-	whole := func(x float64) int64 { return int64(min(math.Floor(x+1e-9), math.MaxInt32)) }
-	b = resp.AppendArrayHeader(b, 5)
-	b = resp.AppendInt(b, limited)
-	b = resp.AppendInt(b, whole(a.Quota.Burst))
-	b = resp.AppendInt(b, whole(a.Quota.Room))
-	b = resp.AppendInt(b, retry)
-	return resp.AppendInt(b, int64(math.Ceil(max(a.Quota.ResetS, 0)-1e-9)))
+	floor := func(x float64) int64 { return int64(min(math.Floor(x+1e-9), math.MaxInt32)) }
+	dst = resp.AppendArrayHeader(dst, 5)
+	dst = resp.AppendInt(dst, limited)
+	dst = resp.AppendInt(dst, floor(answer.Quota.Burst))
+	dst = resp.AppendInt(dst, floor(answer.Quota.Room))
+	dst = resp.AppendInt(dst, retry)
+	return resp.AppendInt(dst, int64(math.Ceil(max(answer.Quota.ResetS, 0)-1e-9)))
 }
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -29,24 +29,24 @@
 	Gone(calls []*core.Call)
 }
 
-// CommandHandler interprets the commands of clients and encodes the replies. Its methods are called on the event loops, possibly
-// concurrently, and must not block.
+// CommandHandler interprets the commands of clients and encodes the replies. Its methods are called on the event loops,
+// possibly concurrently, and must not block.
 type CommandHandler interface {
-	// Command handles one command, which has at least one argument. The arguments are valid until it returns. It calls
-	// Conn.Ask or Conn.Say exactly once.
-	HandleCommand(c Conn, args [][]byte)
-	// Answer appends the reply to a call that was submitted and has its final answer.
-	AppendReply(dst []byte, c *core.Call) []byte
+	// HandleCommand handles one command, which has at least one argument. The arguments are valid until it returns. It calls
+	// Conn.Submit or Conn.Reply exactly once.
+	HandleCommand(conn Conn, args [][]byte)
+	// AppendReply appends the reply to a call that was submitted and has its final answer.
+	AppendReply(dst []byte, call *core.Call) []byte
 	// Limits returns the size limits of a command. A command that exceeds them ends the connection with an error.
 	Limits() resp.Limits
 }
 
 // Conn is a client's connection as a command handler sees it.
 type Conn interface {
-	// Ask submits the command to the core.
-	Submit(c core.Call)
-	// Say replies to the command without the core, after the replies to earlier commands. The slice is copied.
-	Reply(answer []byte)
+	// Submit submits the command to the core.
+	Submit(call core.Call)
+	// Reply replies to the command without the core, after the replies to earlier commands. The slice is copied.
+	Reply(reply []byte)
 }
 
 // Options are the settings of a Server.
@@ -54,21 +54,21 @@
 	Listen string // host:port; port 0 selects a free port
 	Loops  int    // number of event loops, at least 1
 	Limits config.Front
-	// Commands handles the commands of clients that do not log in; each command is then an array of at least one
-	// argument. With nil the front serves this gateway's own commands, to the clients of Book.
+	// Handler handles the commands of clients that do not log in; each command is then an array of at least one
+	// argument. With nil the front serves this gateway's own commands, to the clients of Registry.
 	Handler  CommandHandler
 	Registry *access.Registry
-	// Leavers makes the end of a client's connection, or of its sending side, take effect at once, even while reading is
-	// paused: its open requests are cancelled and input received before the end is discarded. Otherwise that input is
-	// processed first.
+	// CloseOnClientEOF makes the end of a client's connection, or of its sending side, take effect at once, even while
+	// reading is paused: its open requests are cancelled and input received before the end is discarded. Otherwise that
+	// input is processed first.
 	CloseOnClientEOF bool
 	IdleLimits       crowd.Limits  // when idle connections are closed or evicted; with the zero value they are kept
 	Info             func() string // returns the text of the INFO command
-	// Age returns the maximum age of the input that is being read, and the current time. readAt is the time of the
-	// previous read from the connection, and parked means that reading was paused on purpose since then. With nil the
-	// age of input is always 0.
-	InputAge func(readAt float64, parked bool) (ageS, now float64)
-	// Read filters each chunk of input and returns the bytes to process; with nil all are processed. Tests use it to
+	// InputAge returns the maximum age of the input that is being read, and the current time. readAt is the time of the
+	// previous read from the connection, and readingPaused means that reading was paused on purpose since then. With nil
+	// the age of input is always 0.
+	InputAge func(readAt float64, readingPaused bool) (ageS, now float64)
+	// FilterInput filters each chunk of input and returns the bytes to process; with nil all are processed. Tests use it to
 	// inject loss of input.
 	FilterInput func(data []byte) []byte
 	Log         zerolog.Logger
@@ -87,83 +87,86 @@
 
 // Server accepts connections of clients and serves them on event loops.
 type Server struct {
-	opt      Options
-	core     Core
-	lim      resp.Limits
-	group    *eventloop.Group
-	stopping atomic.Bool
-	retiring atomic.Bool
-	sweeper  sync.WaitGroup
-	stop     chan struct{}
+	options      Options
+	core         Core
+	parserLimits resp.Limits
+	loopGroup    *eventloop.Group
+	rejectingNew atomic.Bool
+	closingIdle  atomic.Bool
+	sweeper      sync.WaitGroup
+	stopSweeper  chan struct{}
 
-	loops map[*eventloop.Loop]*loop
+	loops map[*eventloop.Loop]*connLoop
 
-	poolMu sync.Mutex // guards pool and asking
-	pool   *intake.Pool
-	asking map[uint64]*conn // connections that wait for the pool to grant them memory
+	inputMu       sync.Mutex // guards inputPool and awaitingInput
+	inputPool     *intake.Pool
+	awaitingInput map[uint64]*clientConn // connections that wait for the pool to grant them memory
 
 	lingering atomic.Int64 // connections whose sending side this server has closed
 
-	nextID                                                         atomic.Uint64
-	opened, open, commands, cut, denied, parks, evicted, abandoned atomic.Uint64
+	nextID                                                                            atomic.Uint64
+	opened, open, commands, terminated, loginsDenied, readsPaused, evicted, abandoned atomic.Uint64
 }
 
-// listenFor is how long Start keeps trying to listen on an address that is not available at once.
-const listenFor = 2 * time.Second
+// listenTimeout is how long Start keeps trying to listen on an address that is not available at once.
+const listenTimeout = 2 * time.Second
 
-// Start listens on the address of opt and serves clients until Stop.
-func Start(c Core, opt Options) (*Server, error) {
-	s := &Server{opt: opt, core: c, stop: make(chan struct{}), loops: map[*eventloop.Loop]*loop{}, asking: map[uint64]*conn{}}
-	s.boundByDescriptors()
-	s.lim = resp.DefaultLimits
-	s.lim.Bulk, s.lim.Command = opt.Limits.Bulk, opt.Limits.Bulk+aheadMost
-	if opt.Handler != nil {
-		s.lim = opt.Handler.Limits()
+// Start listens on the address in options and serves clients until Stop.
+func Start(target Core, options Options) (*Server, error) {
+	srv := &Server{options: options, core: target, stopSweeper: make(chan struct{}),
+		loops: map[*eventloop.Loop]*connLoop{}, awaitingInput: map[uint64]*clientConn{}}
+	srv.limitToDescriptors()
+	srv.parserLimits = resp.DefaultLimits
+	srv.parserLimits.Bulk, srv.parserLimits.Command = options.Limits.Bulk, options.Limits.Bulk+maxPipelinedBytes
+	if options.Handler != nil {
+		srv.parserLimits = options.Handler.Limits()
 	}
-	s.pool = intake.New(intake.Limits{Free: chunkMost, Total: max(opt.Limits.Input, opt.Limits.Bulk), Reserve: s.lim.Command,
-		Strangers: max(opt.Limits.Input/4, strangerMost), PassS: passAfter})
+	srv.inputPool = intake.New(intake.Limits{Free: readBufferBytes, Total: max(options.Limits.Input, options.Limits.Bulk),
+		Reserve: srv.parserLimits.Command, Strangers: max(options.Limits.Input/4, maxBytesBeforeLogin), PassS: overtakeLimitS})
 	var err error
-	if s.group, err = eventloop.New(s, eventloop.Options{Loops: opt.Loops, ReadBuffer: chunkMost, EndsFirst: opt.CloseOnClientEOF, Log: opt.Log}); err != nil {
+	if srv.loopGroup, err = eventloop.New(srv, eventloop.Options{Loops: options.Loops, ReadBuffer: readBufferBytes,
+		EndsFirst: options.CloseOnClientEOF, Log: options.Log}); err != nil {
 		return nil, fmt.Errorf("front: %w", err)
 	}
-	for _, el := range s.group.Loops() {
-		s.loops[el] = &loop{s: s, el: el, conns: map[*conn]struct{}{}}
+	for _, eventLoop := range srv.loopGroup.Loops() {
+		srv.loops[eventLoop] = &connLoop{server: srv, eventLoop: eventLoop, conns: map[*clientConn]struct{}{}}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), listenFor)
+	ctx, cancel := context.WithTimeout(context.Background(), listenTimeout)
 	defer cancel()
-	if err := s.group.Listen(ctx, opt.Listen); err != nil {
-		s.group.Stop()
-		return nil, fmt.Errorf("listen on %s: %w", opt.Listen, err)
+	if err := srv.loopGroup.Listen(ctx, options.Listen); err != nil {
+		srv.loopGroup.Stop()
+		return nil, fmt.Errorf("listen on %s: %w", options.Listen, err)
 	}
-	s.sweeper.Add(1)
-	go s.sweep()
-	return s, nil
+	srv.sweeper.Add(1)
+	go srv.sweepPeriodically()
+	return srv, nil
 }
 
-// boundByDescriptors lowers the limit on connections according to the system's limit on file descriptors. A quarter and 64
+// limitToDescriptors lowers the limit on connections according to the system's limit on file descriptors. A quarter and 64
 // descriptors are left for connections to servers, discovery and other instances.
-func (srv *Server) boundByDescriptors() {
-	var files unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &files); err != nil || files.Cur >= 1<<30 {
+func (srv *Server) limitToDescriptors() {
+	var fileLimit unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &fileLimit); err != nil || fileLimit.Cur >= 1<<30 {
 		return
 	}
-	if most := max(1, int(files.Cur)*3/4-64); srv.opt.Limits.Connections > most {
-		srv.opt.Log.Warn().Int("connections", most).Uint64("descriptors", files.Cur).Msg("connection limit lowered to fit the file descriptor limit; raise ulimit -n")
-		srv.opt.Limits.Connections = most
+	if maxConnections := max(1, int(fileLimit.Cur)*3/4-64); srv.options.Limits.Connections > maxConnections {
+		srv.options.Log.Warn().Int("connections", maxConnections).Uint64("descriptors", fileLimit.Cur).
+			Msg("connection limit lowered to fit the file descriptor limit; raise ulimit -n")
+		srv.options.Limits.Connections = maxConnections
 	}
 }
 
 // Addr returns the address that the server listens on.
-func (srv *Server) Addr() net.Addr { return srv.group.Addr() }
+func (srv *Server) Addr() net.Addr { return srv.loopGroup.Addr() }
 
 // RejectNewConnections makes the server reject new connections; existing ones are still served.
-func (srv *Server) RejectNewConnections() { srv.stopping.Store(true) }
+func (srv *Server) RejectNewConnections() { srv.rejectingNew.Store(true) }
 
-// CloseWhenIdle makes the server close each connection as soon as it has no open request, and new connections after their first
-// reply.
+// CloseWhenIdle makes the server close each connection as soon as it has no open request, and new connections after their
+// first reply.
 func (srv *Server) CloseWhenIdle() {
-	if srv.retiring.CompareAndSwap(false, true) {
-		srv.look()
+	if srv.closingIdle.CompareAndSwap(false, true) {
+		srv.sweepLoops()
 	}
 }
 
@@ -172,19 +175,19 @@
 
 // Flush returns once every reply produced so far has been handed to the operating system, or when ctx is done.
 func (srv *Server) Flush(ctx context.Context) {
-	for _, l := range srv.loops {
-		for behind := 1; behind > 0; {
+	for _, loop := range srv.loops {
+		for unsent := 1; unsent > 0; {
 			done := make(chan int, 1)
-			if l.el.Execute(func() { done <- len(l.behind) }) != nil {
+			if loop.eventLoop.Execute(func() { done <- len(loop.unsent) }) != nil {
 				break
 			}
 			select {
-			case behind = <-done:
+			case unsent = <-done:
 			case <-ctx.Done():
 				return
 			}
-			if behind > 0 {
-				time.Sleep(behindCheck)
+			if unsent > 0 {
+				time.Sleep(unsentCheckInterval)
 			}
 		}
 	}
@@ -193,111 +196,115 @@
 // Stop closes all connections and returns when the event loops have ended.
 func (srv *Server) Stop(ctx context.Context) {
 	srv.RejectNewConnections()
-	srv.part(ctx)
-	close(srv.stop)
+	srv.closeAll(ctx)
+	close(srv.stopSweeper)
 	srv.sweeper.Wait()
-	srv.group.Stop()
+	srv.loopGroup.Stop()
 }
 
-// seconds returns the time since the process started, in seconds.
-func seconds() float64 { return time.Since(processStart).Seconds() }
+// nowS returns the time since the process started, in seconds.
+func nowS() float64 { return time.Since(processStart).Seconds() }
 
 var processStart = time.Now()
 
 // Counts returns the totals so far.
 func (srv *Server) Counts() Counts {
-	srv.poolMu.Lock()
-	input := srv.pool.Counts()
-	srv.poolMu.Unlock()
-	return Counts{srv.opened.Load(), srv.open.Load(), srv.commands.Load(), srv.cut.Load(), srv.denied.Load(), srv.parks.Load(), srv.evicted.Load(), srv.abandoned.Load(), input}
+	srv.inputMu.Lock()
+	input := srv.inputPool.Counts()
+	srv.inputMu.Unlock()
+	return Counts{srv.opened.Load(), srv.open.Load(), srv.commands.Load(), srv.terminated.Load(), srv.loginsDenied.Load(),
+		srv.readsPaused.Load(), srv.evicted.Load(), srv.abandoned.Load(), input}
 }
 
 // OnOpen accepts or rejects a new connection. It implements eventloop.Handler.
-func (srv *Server) OnOpen(c *eventloop.Conn) eventloop.Action {
+func (srv *Server) OnOpen(socket *eventloop.Conn) eventloop.Action {
 	srv.opened.Add(1)
 	open := srv.open.Add(1)
-	l := srv.loops[c.Loop()]
-	if most := srv.opt.Limits.Connections - srv.opt.Limits.Connections/lingerShare; int64(open)-srv.lingering.Load() > int64(most) && !l.evict() {
-		srv.cut.Add(1)
-		_, _ = c.Send([]byte("-ERR max number of clients reached\r\n")) // best effort
-		return eventloop.Close                                          // without reading to its end: the descriptor is needed
+	loop := srv.loops[socket.Loop()]
+	if maxConnections := srv.options.Limits.Connections -
+		srv.options.Limits.Connections/lingerDivisor; int64(open)-srv.lingering.Load() > int64(maxConnections) && !loop.evict() {
+		srv.terminated.Add(1)
+		_, _ = socket.Send([]byte("-ERR max number of clients reached\r\n")) // best effort
+		return eventloop.Close                                               // without reading to its end: the descriptor is needed
 	}
-	k := &conn{c: c, loop: l, id: srv.nextID.Add(1), version: 2, since: time.Now()}
-	if srv.opt.Handler != nil {
-		k.client = &anyone
+	conn := &clientConn{socket: socket, loop: loop, id: srv.nextID.Add(1), respVersion: 2, openedAt: time.Now()}
+	if srv.options.Handler != nil {
+		conn.client = &anonymousClient
 	}
-	k.guest.Since = seconds()
-	l.conns[k] = struct{}{}
-	c.SetContext(k)
-	if srv.stopping.Load() && srv.opt.Handler == nil {
-		k.quit = true
-		k.because(shuttingDown)
-		k.say(func(b []byte) []byte { return resp.AppendError(b, "ERR this instance is shutting down") })
-		if act := l.write(k); act != eventloop.None {
-			return act
+	conn.usage.Since = nowS()
+	loop.conns[conn] = struct{}{}
+	socket.SetContext(conn)
+	if srv.rejectingNew.Load() && srv.options.Handler == nil {
+		conn.closing = true
+		conn.setReason(shuttingDown)
+		conn.replyWith(func(b []byte) []byte { return resp.AppendError(b, "ERR this instance is shutting down") })
+		if action := loop.writeOutput(conn); action != eventloop.None {
+			return action
 		}
-		return k.pump()
+		return conn.writeReplies()
 	}
 	return eventloop.None
 }
 
 // OnClose removes a connection that has been closed. It implements eventloop.Handler.
-func (srv *Server) OnClose(c *eventloop.Conn, err error) {
-	k, ok := c.Context().(*conn)
+func (srv *Server) OnClose(socket *eventloop.Conn, err error) {
+	conn, ok := socket.Context().(*clientConn)
 	if !ok { // rejected in OnOpen
 		srv.open.Add(^uint64(0))
 		return
 	}
-	k.ended(err)
-	k.loop.lost(k)
+	conn.recordClose(err)
+	conn.loop.removeConn(conn)
 }
 
 // OnData processes input from a connection. It implements eventloop.Handler.
-func (srv *Server) OnData(c *eventloop.Conn, data []byte) eventloop.Action {
-	k, ok := c.Context().(*conn)
+func (srv *Server) OnData(socket *eventloop.Conn, data []byte) eventloop.Action {
+	conn, ok := socket.Context().(*clientConn)
 	if !ok {
 		return eventloop.Close
 	}
-	if srv.opt.FilterInput != nil {
-		data = srv.opt.FilterInput(data)
+	if srv.options.FilterInput != nil {
+		data = srv.options.FilterInput(data)
 	}
-	k.looked(false)
-	l := k.loop
-	l.awake(true)
-	act := k.arrived(data)
-	for act == eventloop.None && !l.awake(false) { // answers that arrived meanwhile, usually to the commands just read
-		l.run()
+	conn.recordInputAge(false)
+	loop := conn.loop
+	loop.setPolling(true)
+	action := conn.handleInput(data)
+	// Process answers that have arrived meanwhile, usually to the commands just read.
+	for action == eventloop.None && !loop.setPolling(false) {
+		loop.processInbox()
 	}
-	if act != eventloop.None && !l.awake(false) { // the connection ends: the answers belong to others and are processed next
-		l.sleep()
+	// The connection ends: the answers belong to other connections and are processed in a task of their own.
+	if action != eventloop.None && !loop.setPolling(false) {
+		loop.deferInbox()
 	}
-	return act
+	return action
 }
 
-// sweep checks all connections periodically, at least once a second, and closes those that use up resources without progress.
-func (srv *Server) sweep() {
+// sweepPeriodically checks all connections at least once a second, and closes those that use resources without making progress.
+func (srv *Server) sweepPeriodically() {
 	defer srv.sweeper.Done()
-	tick := time.NewTicker(min(time.Second, max(srv.opt.Limits.Partial/8, 10*time.Millisecond)))
+	tick := time.NewTicker(min(time.Second, max(srv.options.Limits.Partial/8, 10*time.Millisecond)))
 	defer tick.Stop()
 	for {
 		select {
-		case <-srv.stop:
+		case <-srv.stopSweeper:
 			return
 		case <-tick.C:
 		}
-		srv.poolMu.Lock()
-		srv.granted(srv.pool.Tick(seconds()))
-		srv.poolMu.Unlock()
-		srv.look()
+		srv.inputMu.Lock()
+		srv.resumeGranted(srv.inputPool.Tick(nowS()))
+		srv.inputMu.Unlock()
+		srv.sweepLoops()
 	}
 }
 
-// look makes all event loops check which of their connections are to be closed.
-func (srv *Server) look() { srv.each((*loop).sweep) }
+// sweepLoops makes all event loops check which of their connections are to be closed.
+func (srv *Server) sweepLoops() { srv.onEachLoop((*connLoop).sweep) }
 
-// each runs f on every event loop, without waiting for it.
-func (srv *Server) each(f func(l *loop)) {
-	for el, l := range srv.loops {
-		_ = el.Execute(func() { f(l) }) // an error means that the loops are ending, and nothing is left to do
+// onEachLoop runs f on every event loop, without waiting for it.
+func (srv *Server) onEachLoop(f func(loop *connLoop)) {
+	for eventLoop, loop := range srv.loops {
+		_ = eventLoop.Execute(func() { f(loop) }) // an error means that the loops are ending, and nothing is left to do
 	}
 }
--- a/internal/front/wire_test.go
+++ b/internal/front/wire_test.go
@@ -50,27 +50,27 @@
 	return in, want
 }
 
-// talk sends pieces with a pause between them and returns all replies up to the end of the connection.
-func talk(addr string, pause time.Duration, pieces ...[]byte) (string, error) {
-	c, err := dialRaw(addr)
+// exchange sends pieces with a pause between them and returns all replies up to the end of the connection.
+func exchange(addr string, pause time.Duration, pieces ...[]byte) (string, error) {
+	conn, err := dial(addr)
 	if err != nil {
 		return "", err
 	}
-	defer c.Close()
-	for i, p := range pieces {
+	defer conn.Close()
+	for i, piece := range pieces {
 		if i > 0 {
 			time.Sleep(pause)
 		}
-		if _, err := c.Write(p); err != nil {
+		if _, err := conn.Write(piece); err != nil {
 			return "", err
 		}
 	}
-	b, err := io.ReadAll(c)
-	return string(b), err
+	replies, err := io.ReadAll(conn)
+	return string(replies), err
 }
 
-// sameID replaces the connection's id in a reply to HELLO, which differs between connections.
-func sameID(s string) string {
+// maskID replaces the connection's id in a reply to HELLO, which differs between connections.
+func maskID(s string) string {
 	i := strings.Index(s, "\r\nid\r\n:")
 	if i < 0 {
 		return s
@@ -85,43 +85,43 @@
 
 // A sequence of commands split in two at any byte, or sent a byte at a time, gets the same replies as when sent at once.
 func TestCommandsInPieces(t *testing.T) {
-	_, _, addr := start(t, nil)
+	_, _, addr := startServer(t, nil)
 	for _, version := range []int{2, 3} {
 		in, want := transcript(version)
-		var work sync.WaitGroup
+		var clients sync.WaitGroup
 		slots := make(chan struct{}, 64)
-		for cut := 0; cut <= len(in); cut++ {
-			pieces := [][]byte{in[:cut], in[cut:]}
-			if cut == 0 { // a byte at a time
+		for split := 0; split <= len(in); split++ {
+			pieces := [][]byte{in[:split], in[split:]}
+			if split == 0 { // a byte at a time
 				pieces = nil
 				for i := range in {
 					pieces = append(pieces, in[i:i+1])
 				}
 			}
-			work.Add(1)
+			clients.Add(1)
 			slots <- struct{}{}
 			go func() {
-				defer work.Done()
+				defer clients.Done()
 				defer func() { <-slots }()
 				pause := 5 * time.Millisecond
-				if cut == 0 {
+				if split == 0 {
 					pause = 200 * time.Microsecond
 				}
-				if got, err := talk(addr, pause, pieces...); err != nil || sameID(got) != want {
-					t.Errorf("version %d, cut at %d: %v, got %q", version, cut, err, got)
+				if got, err := exchange(addr, pause, pieces...); err != nil || maskID(got) != want {
+					t.Errorf("version %d, split at %d: %v, got %q", version, split, err, got)
 				}
 			}()
 		}
-		work.Wait()
+		clients.Wait()
 	}
 }
 
 // Arguments up to the size limit arrive complete however they are split, with commands before and after them.
 func TestLargeArguments(t *testing.T) {
-	const most = 512 << 10
-	_, s, addr := start(t, func(b *config.Front) { b.Bulk = most; b.Output = 4 << 20 })
-	for _, size := range []int{0, 1, 10_000, 65_536, 100_000, 400_000, most - 1, most} {
-		k := connect(t, addr, true)
+	const maxBytes = 512 << 10
+	_, fake, addr := startServer(t, func(limits *config.Front) { limits.Bulk = maxBytes; limits.Output = 4 << 20 })
+	for _, size := range []int{0, 1, 10_000, 65_536, 100_000, 400_000, maxBytes - 1, maxBytes} {
+		client := connect(t, addr, true)
 		arg := strings.Repeat("x", size/2) + strings.Repeat("\n", size-size/2)
 		in := resp.AppendCommand(nil, "ECHO", arg)
 		in = resp.AppendCommand(in, "SIGN.SUBMIT", fmt.Sprint("k", size), arg)
@@ -129,35 +129,35 @@
 		go func() {
 			for len(in) > 0 {
 				n := min(len(in), 1+rand.IntN(100_000)) // any split must do
-				_, _ = k.Write(in[:n])
+				_, _ = client.Write(in[:n])
 				in = in[n:]
 			}
 		}()
-		k.expect("", fmt.Sprintf("$%d\r\n%s\r\n+did k%d\r\n+PONG\r\n", size, arg, size))
-		s.mu.Lock()
-		payload := s.calls[len(s.calls)-1].Payload
-		s.mu.Unlock()
+		client.expect("", fmt.Sprintf("$%d\r\n%s\r\n+did k%d\r\n+PONG\r\n", size, arg, size))
+		fake.mu.Lock()
+		payload := fake.calls[len(fake.calls)-1].Payload
+		fake.mu.Unlock()
 		if want := resp.AppendCommand(nil, "SIGN.SUBMIT", fmt.Sprint("k", size), arg); !bytes.Equal(payload, want) {
-			t.Errorf("size %d: the core got %d bytes, want %d, the same", size, len(payload), len(want))
+			t.Errorf("size %d: the core received %d bytes, want the %d bytes sent", size, len(payload), len(want))
 		}
 	}
-	k := connect(t, addr, true)
-	k.send(fmt.Sprintf("PING\r\n*2\r\n$4\r\nECHO\r\n$%d\r\n", most+1))
-	k.ended("+PONG\r\n-ERR Protocol error: invalid bulk length\r\n")
+	client := connect(t, addr, true)
+	client.send(fmt.Sprintf("PING\r\n*2\r\n$4\r\nECHO\r\n$%d\r\n", maxBytes+1))
+	client.expectClose("+PONG\r\n-ERR Protocol error: invalid bulk length\r\n")
 }
 
 // Whatever the commands and wherever they are split, the replies are the same as when they are sent at once.
-func TestAnyCutting(t *testing.T) {
-	_, _, addr := start(t, func(b *config.Front) { b.Pipeline = 7 })
+func TestArbitrarySplits(t *testing.T) {
+	_, _, addr := startServer(t, func(limits *config.Front) { limits.Pipeline = 7 })
 	rapid.Check(t, func(t *rapid.T) {
 		words := rapid.SliceOfN(rapid.SampledFrom([]string{"PING", "ECHO", "JOB.STATUS", "SIGN.SUBMIT", "NOPE", "", "x y", "\r\n", "$1",
 			strings.Repeat("long", 900)}), 1, 4)
 		in := resp.AppendCommand(nil, "AUTH", "acme", "acme-secret")
-		for _, c := range rapid.SliceOfN(words, 1, 20).Draw(t, "commands") {
-			in = resp.AppendCommand(in, c...)
+		for _, command := range rapid.SliceOfN(words, 1, 20).Draw(t, "commands") {
+			in = resp.AppendCommand(in, command...)
 		}
 		in = resp.AppendCommand(in, "QUIT")
-		whole, err := talk(addr, 0, in)
+		whole, err := exchange(addr, 0, in)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -166,7 +166,7 @@
 			n := min(len(rest), rapid.IntRange(1, 400).Draw(t, "piece"))
 			pieces, rest = append(pieces, rest[:n]), rest[n:]
 		}
-		if got, err := talk(addr, 100*time.Microsecond, pieces...); err != nil || got != whole {
+		if got, err := exchange(addr, 100*time.Microsecond, pieces...); err != nil || got != whole {
 			t.Fatalf("%q in %d pieces: %v\n got %q\nwant %q", in, len(pieces), err, got, whole)
 		}
 	})
@@ -174,75 +174,77 @@
 
 // A command is as old as its first byte: one that lay half in the socket during a pause of the process is old when its end
 // arrives, and the one after it, which arrived later, is not.
-func TestAgeOfCommandsAfterAStall(t *testing.T) {
+func TestCommandAgeAfterPause(t *testing.T) {
 	var mu sync.Mutex
-	age, looks := 0.0, 0
-	set := func(x float64) { mu.Lock(); age = x; mu.Unlock() }
-	_, s, addr := startWith(t, nil, func(o *Options) {
-		o.InputAge = func(float64, bool) (float64, float64) {
+	age, reads := 0.0, 0
+	setAge := func(x float64) { mu.Lock(); age = x; mu.Unlock() }
+	_, fake, addr := startServerWith(t, nil, func(options *Options) {
+		options.InputAge = func(float64, bool) (float64, float64) {
 			mu.Lock()
 			defer mu.Unlock()
-			looks++
+			reads++
 			return age, 1000
 		}
 	})
-	k := connect(t, addr, true)
+	client := connect(t, addr, true)
 	in := string(resp.AppendCommand(nil, "JOB.STATUS", "1"))
-	set(4)
+	setAge(4)
 	mu.Lock()
-	before := looks // no other read is in progress
+	before := reads // no other read is in progress
 	mu.Unlock()
-	k.send(in[:10])
-	wait(t, func() bool { mu.Lock(); defer mu.Unlock(); return looks > before })
-	set(0)
-	k.expect(in[10:]+in[:10], "+did \r\n")
-	k.expect(in[10:], "+did \r\n")
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.calls[0].AgeS != 4 || s.calls[1].AgeS != 0 {
-		t.Errorf("ages %v and %v, want 4 and 0", s.calls[0].AgeS, s.calls[1].AgeS)
+	client.send(in[:10])
+	waitFor(t, func() bool { mu.Lock(); defer mu.Unlock(); return reads > before })
+	setAge(0)
+	client.expect(in[10:]+in[:10], "+did \r\n")
+	client.expect(in[10:], "+did \r\n")
+	fake.mu.Lock()
+	defer fake.mu.Unlock()
+	if fake.calls[0].AgeS != 4 || fake.calls[1].AgeS != 0 {
+		t.Errorf("ages %v and %v, want 4 and 0", fake.calls[0].AgeS, fake.calls[1].AgeS)
 	}
 }
 
-// FuzzCutting checks for arbitrary input that the replies do not depend on where it is split.
-func FuzzCutting(f *testing.F) {
+// FuzzSplits checks for arbitrary input that the replies do not depend on where it is split.
+func FuzzSplits(f *testing.F) {
 	login := string(resp.AppendCommand(nil, "AUTH", "acme", "acme-secret"))
 	for _, s := range []string{"PING\r\nECHO 'a b'\r\n", "*2\r\n$4\r\nECHO\r\n$5\r\nhello\r\nPING\r\n", "*1\r\n$4\r\nPI", "*2\r\n$4\r\nECHO\r\n$99999\r\n",
 		"\r\n\r\n*0\r\nPING\n", "*1\r\n$4\r\nPINGxxPING\r\n", "JOB.STATUS map\r\nCL.THROTTLE u 1 1 1\r\nSIGN.SUBMIT k v\r\n"} {
 		f.Add([]byte(login+s), []byte{1, 7, 30})
 		f.Add([]byte(s), []byte{3})
 	}
-	_, _, addr := start(f, nil)
-	f.Fuzz(func(t *testing.T, in, cuts []byte) {
-		if len(in) > 10_000 || len(cuts) > 50 || bytes.Contains(bytes.ToUpper(in), []byte("ID")) || bytes.Contains(bytes.ToUpper(in), []byte("HELLO")) {
+	_, _, addr := startServer(f, nil)
+	f.Fuzz(func(t *testing.T, in, splits []byte) {
+		if len(in) > 10_000 || len(splits) > 50 || bytes.Contains(bytes.ToUpper(in), []byte("ID")) ||
+			bytes.Contains(bytes.ToUpper(in), []byte("HELLO")) {
 			return // the replies contain the connection's id, which differs
 		}
-		in = append(in[:len(in):len(in)], "\r\nQUIT\r\n*1\r\n$4\r\nQUIT\r\n"...) // completes whatever command is incomplete, and ends the connection
+		// Complete whatever command is incomplete, and end the connection.
+		in = append(in[:len(in):len(in)], "\r\nQUIT\r\n*1\r\n$4\r\nQUIT\r\n"...)
 		send := func(pieces ...[]byte) string {
-			c, err := dialRaw(addr)
+			conn, err := dial(addr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c.Close()
-			for _, p := range pieces {
-				if _, err := c.Write(p); err != nil {
+			defer conn.Close()
+			for _, piece := range pieces {
+				if _, err := conn.Write(piece); err != nil {
 					break // the server has closed the connection after its replies
 				}
 				time.Sleep(100 * time.Microsecond)
 			}
-			_ = c.(*net.TCPConn).CloseWrite()
-			b, _ := io.ReadAll(c)
-			return string(b)
+			_ = conn.(*net.TCPConn).CloseWrite()
+			replies, _ := io.ReadAll(conn)
+			return string(replies)
 		}
 		var pieces [][]byte
 		rest := in
-		for _, n := range cuts {
+		for _, n := range splits {
 			n := min(int(n), len(rest))
 			pieces, rest = append(pieces, rest[:n]), rest[n:]
 		}
-		whole, cut := send(in), send(append(pieces, rest)...)
-		if !strings.HasPrefix(whole, cut) && !strings.HasPrefix(cut, whole) { // a reset may arrive before the last reply
-			t.Fatalf("%q in pieces of %v:\n got %q\nwant %q", in, cuts, cut, whole)
+		whole, split := send(in), send(append(pieces, rest)...)
+		if !strings.HasPrefix(whole, split) && !strings.HasPrefix(split, whole) { // a reset may arrive before the last reply
+			t.Fatalf("%q in pieces of %v:\n got %q\nwant %q", in, splits, split, whole)
 		}
 	})
 }
