--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -68,8 +68,8 @@
 	// previous read from the connection, and readingPaused means that reading was paused on purpose since then. With nil
 	// the age of input is always 0.
 	InputAge func(readAt float64, readingPaused bool) (ageS, now float64)
-	// FilterInput filters each chunk of input and returns the bytes to process; with nil all are processed. Tests use it to
-	// inject loss of input.
+	// FilterInput filters each chunk of input and returns the bytes to process; with nil all are processed. Fault injection
+	// uses it to lose input.
 	FilterInput func(data []byte) []byte
 	Log         zerolog.Logger
 }
@@ -225,7 +225,8 @@
 		srv.options.Limits.Connections/lingerDivisor; int64(open)-srv.lingering.Load() > int64(maxConnections) && !loop.evict() {
 		srv.terminated.Add(1)
 		_, _ = socket.Send([]byte("-ERR max number of clients reached\r\n")) // best effort
-		return eventloop.Close                                               // without reading to its end: the descriptor is needed
+		// No lingering close: there is no descriptor to spare for one.
+		return eventloop.Close
 	}
 	conn := &clientConn{socket: socket, loop: loop, id: srv.nextID.Add(1), respVersion: 2, openedAt: time.Now()}
 	if srv.options.Handler != nil {
