--- a/internal/access/access.go
+++ b/internal/access/access.go
@@ -93,7 +93,7 @@
 		}
 		units = n
 	}
-	call := core.Call{Client: client.Name, Plan: client.Plan, Class: command.Class, Units: float64(units),
+	call := core.Call{Customer: client.Name, Plan: client.Plan, Class: command.Class, Units: float64(units),
 		Payload: resp.AppendArgs(nil, args)}
 	if command.KeyAt > 0 {
 		if call.Key = string(args[command.KeyAt]); call.Key == "" {
@@ -110,7 +110,7 @@
 
 // LimitCall returns a call that requests units of the client's quota alone, without a request to a server.
 func (reg *Registry) LimitCall(client *Client, class int, units float64) core.Call {
-	return core.Call{Client: client.Name, Plan: client.Plan, Class: class, Units: units, Limit: true}
+	return core.Call{Customer: client.Name, Plan: client.Plan, Class: class, Units: units, QuotaOnly: true}
 }
 
 // Lookup returns the client with the given name without checking a secret. It is for clients that are authenticated by other
--- a/internal/access/access_test.go
+++ b/internal/access/access_test.go
@@ -43,7 +43,7 @@
 		return out
 	}
 	call, known, err := reg.ParseCommand(client, words("SIGN.SUBMIT k img"))
-	if err != nil || !known || call.Key != "k" || call.Units != 1 || call.Client != "acme" || call.Plan != "starter" ||
+	if err != nil || !known || call.Key != "k" || call.Units != 1 || call.Customer != "acme" || call.Plan != "starter" ||
 		string(call.Payload) != string(resp.AppendCommand(nil, "SIGN.SUBMIT", "k", "img")) {
 		t.Fatalf("%+v %v %v", call, known, err)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -277,19 +277,19 @@
 }
 
 func (c *Config) class(r *sexp.Reader, n *sexp.Node) {
-	k := policy.Class{Worth: 1}
+	k := policy.Class{Value: 1}
 	name, rest := r.Named(n)
 	k.Name = name
 	r.Fields(n, "class "+name, rest, []sexp.Field{
-		sexp.SecondsField("aim", true, &k.AimS, time.Millisecond, time.Hour),
+		sexp.SecondsField("aim", true, &k.TargetLatencyS, time.Millisecond, time.Hour),
 		sexp.SecondsField("deadline", true, &k.DeadlineS, time.Millisecond, time.Hour),
-		sexp.NumField("worth", false, &k.Worth, 0, 1e6), sexp.NumField("late-worth", false, &k.LateWorth, 0, 1),
+		sexp.NumField("worth", false, &k.Value, 0, 1e6), sexp.NumField("late-worth", false, &k.LateValueShare, 0, 1),
 		sexp.ChoiceField("effect", true, &k.Effect, []string{"safe", "keyed", "unsafe"},
 			[]policy.Effect{policy.Safe, policy.Keyed, policy.Unsafe}),
 		sexp.ChoiceField("key-scope", false, &k.KeyScope, []string{"all", "zone", "cell"},
-			[]policy.Scope{policy.ScopeAll, policy.ScopeZone, policy.ScopeCell}),
+			[]policy.KeyScope{policy.ScopeAll, policy.ScopeZone, policy.ScopeCell}),
 		sexp.SecondsField("key-ttl", false, &k.KeyTTLS, 0, time.Hour)})
-	if k.AimS > k.DeadlineS {
+	if k.TargetLatencyS > k.DeadlineS {
 		r.Fail(n, "class "+name+" aim", "is after the deadline, want it no later")
 	}
 	if (k.Effect == policy.Keyed) != (k.KeyTTLS > 0) {
@@ -304,14 +304,14 @@
 }
 
 func (c *Config) plan(r *sexp.Reader, n *sexp.Node) {
-	p := policy.Plan{Price: 1, ExcessCost: 1}
+	p := policy.Plan{ValueFactor: 1, ExcessCostShare: 1}
 	name, rest := r.Named(n)
 	p.Name = name
 	where := "plan " + name
 	r.Fields(n, where, rest, []sexp.Field{
 		sexp.NumField("rate", false, &p.Rate, 0.001, mostRate), sexp.NumField("burst", false, &p.Burst, 1, mostBurst),
-		sexp.IntField("parallel", false, &p.Parallel, 1, 65000), sexp.NumField("price", false, &p.Price, 0, 1e6),
-		sexp.NumField("excess-cost", false, &p.ExcessCost, 0, 100), sexp.NumField("extra-worth", false, &p.ExtraWorth, 0, 1),
+		sexp.IntField("parallel", false, &p.MaxParallel, 1, 65000), sexp.NumField("price", false, &p.ValueFactor, 0, 1e6),
+		sexp.NumField("excess-cost", false, &p.ExcessCostShare, 0, 100), sexp.NumField("extra-worth", false, &p.ExtraValueShare, 0, 1),
 		{Name: "ceiling", Read: func(r *sexp.Reader, n *sexp.Node) {
 			r.Fields(n, where+" ceiling", n.Args(), []sexp.Field{sexp.NumField("rate", true, &p.CeilingRate, 0.001, mostRate),
 				sexp.NumField("burst", true, &p.CeilingBurst, 1, mostBurst), sexp.NumField("slack", false, &p.CeilingSlack, 0, mostBurst)})
@@ -343,7 +343,7 @@
 	where := "box " + s.ID
 	r.Fields(n, where, n.Args()[1:], []sexp.Field{sexp.TextField("zone", true, &s.Zone), sexp.IntField("cell", false, &s.Cell, 0, 1<<20),
 		sexp.NumField("weight", false, &s.Weight, 0.001, 1e6),
-		sexp.ChoiceField("state", false, &s.State, []string{"up", "draining"}, []policy.State{policy.Up, policy.Draining})})
+		sexp.ChoiceField("state", false, &s.State, []string{"up", "draining"}, []policy.ServerState{policy.Up, policy.Draining})})
 	for _, o := range c.Boxes {
 		if o.ID == s.ID {
 			r.Fail(n, where, "given twice, want each address once")
@@ -504,7 +504,7 @@
 	if c.Throttle < 0 { // the class worth most: nobody's dearer work is kept from limits
 		c.Throttle = 0
 		for i, k := range c.Classes {
-			if k.Worth > c.Classes[c.Throttle].Worth {
+			if k.Value > c.Classes[c.Throttle].Value {
 				c.Throttle = i
 			}
 		}
@@ -522,12 +522,12 @@
 	}
 	n := max(1, len(c.Instances))
 	return policy.Settings{
-		Me: c.Me, Gateways: n, Zone: c.Zone, Classes: c.Classes, Plans: c.Plans, MaxUnits: units,
-		PeerIntake: 0, Peers: n > 1, Probes: true, Cancel: true, Parallel: c.Backend.Parallel, RetryAfter: true,
+		Self: c.Me, Gateways: n, Zone: c.Zone, Classes: c.Classes, Plans: c.Plans, MaxUnits: units,
+		PeerMessagesPerS: 0, PeerMessages: n > 1, Probes: true, Cancel: true, ParallelAttempts: c.Backend.Parallel, RetryAfter: true,
 		MaxAttempts: c.Backend.Attempts, MaxRetryAfterS: 0.5,
-		ReportByProbe: c.Backend.Load == "probe", ReportByAnswer: c.Backend.Load == "answer",
-		AnswerSlackS: c.Rules.AnswerSlackS, ColdFrom: c.Rules.ColdFrom, ColdS: c.Rules.ColdS,
-		FallMultiple: c.Rules.FallMultiple, FallS: c.Rules.FallS, TickS: 0.0005,
+		LoadFromProbes: c.Backend.Load == "probe", LoadFromAnswers: c.Backend.Load == "answer",
+		AnswerSlackS: c.Rules.AnswerSlackS, ColdStartShare: c.Rules.ColdFrom, ColdPeriodS: c.Rules.ColdS,
+		OverloadMultiple: c.Rules.FallMultiple, OverloadWindowS: c.Rules.FallS, TickS: 0.0005,
 	}
 }
 
--- a/internal/day/play.go
+++ b/internal/day/play.go
@@ -173,13 +173,13 @@
 	now := float64(time.Now().UnixNano()) / 1e9
 	p.f.push(func(s []policy.Server) {
 		for _, i := range list {
-			s[i].State, s[i].SinceS = policy.Up, now
+			s[i].State, s[i].StartedAt = policy.Up, now
 		}
 	})
 	return nil
 }
 
-func (p *play) mark(list []int, state policy.State) {
+func (p *play) mark(list []int, state policy.ServerState) {
 	p.f.push(func(s []policy.Server) {
 		for _, i := range list {
 			s[i].State = state
--- a/internal/discovery/assignment.go
+++ b/internal/discovery/assignment.go
@@ -73,7 +73,7 @@
 		case "cell":
 			s.Cell = int(n.NumberValue)
 		case "started":
-			s.SinceS = n.NumberValue
+			s.StartedAt = n.NumberValue
 		}
 	}
 	return s, nil
@@ -105,7 +105,7 @@
 		if s.State == policy.Draining {
 			health = corev3.HealthStatus_DRAINING
 		}
-		meta, err := structpb.NewStruct(map[string]any{"cell": float64(s.Cell), "started": s.SinceS})
+		meta, err := structpb.NewStruct(map[string]any{"cell": float64(s.Cell), "started": s.StartedAt})
 		if err != nil {
 			return nil, fmt.Errorf("box %s: %w", s.ID, err)
 		}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -25,7 +25,7 @@
 
 // Sink takes lists of boxes. The channel is closed once the list is in force; only then is it acknowledged.
 type Sink interface {
-	Servers(list []policy.Server, whole bool) <-chan struct{}
+	UpdateServers(list []policy.Server, whole bool) <-chan struct{}
 }
 
 // Client follows the list of boxes.
@@ -81,7 +81,7 @@
 	var a *endpointv3.ClusterLoadAssignment
 	reading, cancel := context.WithTimeout(ctx, restoreFor)
 	defer cancel()
-	err := syserr.Retry(reading, syserr.Storage, func() (err error) {
+	err := syserr.Retry(reading, syserr.StorageRetryable, func() (err error) {
 		version, at, a, err = c.keep.file.Load()
 		return err
 	})
@@ -97,7 +97,7 @@
 	}
 	c.log.Info().Str("version", version).Int("boxes", len(list)).Dur("age", time.Since(at)).Msg("start with the list kept on disk")
 	c.change(func(s *State) { s.Version, s.Boxes = version, len(list) })
-	return wait(ctx, c.sink.Servers(list, true))
+	return wait(ctx, c.sink.UpdateServers(list, true))
 }
 
 func wait(ctx context.Context, taken <-chan struct{}) error {
@@ -179,7 +179,7 @@
 			req.ErrorDetail = &statuspb.Status{Code: 3, Message: err.Error()} // INVALID_ARGUMENT
 		} else {
 			// In force first: the acknowledgement is the moment from which drains count.
-			if err := wait(ctx, c.sink.Servers(list, true)); err != nil {
+			if err := wait(ctx, c.sink.UpdateServers(list, true)); err != nil {
 				return heard, err
 			}
 			heard, version = true, res.GetVersionInfo()
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -29,7 +29,7 @@
 	hold  chan struct{} // nil: taken at once
 }
 
-func (s *sink) Servers(list []policy.Server, whole bool) <-chan struct{} {
+func (s *sink) UpdateServers(list []policy.Server, whole bool) <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lists = append(s.lists, list)
@@ -159,7 +159,7 @@
 	}
 }
 
-var list = []policy.Server{{ID: "127.0.0.1:1", Zone: "a", Cell: 1, Weight: 2, SinceS: 1700000000.5},
+var list = []policy.Server{{ID: "127.0.0.1:1", Zone: "a", Cell: 1, Weight: 2, StartedAt: 1700000000.5},
 	{ID: "127.0.0.1:2", Zone: "b", Weight: 1, State: policy.Draining}}
 
 func follow(t *testing.T, e *standin.EDS, s *sink, keep string) *discovery.Client {
--- a/internal/edge/config.go
+++ b/internal/edge/config.go
@@ -94,7 +94,7 @@
 			return nil, fmt.Errorf("%s: %w", a.name, err)
 		}
 	}
-	if c.Terms.Peers && c.Terms.Gateways > 1 {
+	if c.Terms.PeerMessages && c.Terms.Gateways > 1 {
 		if err := endpoints.Address(c.PeerListen); err != nil {
 			return nil, fmt.Errorf("peer_listen: %w", err)
 		}
@@ -127,7 +127,7 @@
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
-	if err := c.Terms.Check(); err != nil {
+	if err := c.Terms.Validate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	return c, nil
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -29,7 +29,7 @@
 	log    zerolog.Logger
 	clock  core.Clock
 	loop   *core.Loop
-	stalls *core.Stalls
+	stalls *core.PauseMonitor
 	pool   *backend.Pool
 	peers  *peer.Link
 	disc   *endpoints.Client
@@ -121,7 +121,7 @@
 	var cfg *Config
 	reading, cancel := context.WithTimeout(ctx, loadFor)
 	defer cancel()
-	err := syserr.Retry(reading, syserr.Storage, func() (err error) {
+	err := syserr.Retry(reading, syserr.StorageRetryable, func() (err error) {
 		cfg, err = Load(getenv)
 		return err
 	})
@@ -151,11 +151,11 @@
 	if e.loop, err = core.NewLoop(c.Terms.Settings, c.Seed, e.clock); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	e.loop.Bound(b.Held)
+	e.loop.SetMaxRequests(b.Held)
 	if c.Trace {
 		e.loop.Observe(traceRequests(log))
 	}
-	e.stalls = core.NewStalls(e.clock)
+	e.stalls = core.NewPauseMonitor(e.clock)
 	e.pool, err = backend.New(e.loop, poolOptions(c, b, log.With().Str("part", "backend").Logger()))
 	if err != nil {
 		return nil, err
@@ -169,8 +169,8 @@
 		}
 	}()
 	var told core.Peers
-	if c.Terms.Peers && c.Terms.Gateways > 1 {
-		e.peers, err = peer.OpenPlain(c.PeerListen, c.Peers, c.PeersAll, c.Terms.Me, e.loop, log.With().Str("part", "peer").Logger())
+	if c.Terms.PeerMessages && c.Terms.Gateways > 1 {
+		e.peers, err = peer.OpenPlain(c.PeerListen, c.Peers, c.PeersAll, c.Terms.Self, e.loop, log.With().Str("part", "peer").Logger())
 		if err != nil {
 			close(e.ran)
 			return nil, err
@@ -198,7 +198,7 @@
 	}
 	commands := svc.NewClients(svc.NewBook(c.Terms.Settings))
 	e.front, err = front.Start(e.loop, front.Options{Listen: c.Listen, Loops: 1, CloseOnClientEOF: true, Limits: b.Front, IdleLimits: b.Crowd,
-		Handler: commands, InputAge: e.stalls.Age, Log: log.With().Str("part", "front").Logger()})
+		Handler: commands, InputAge: e.stalls.InputAge, Log: log.With().Str("part", "front").Logger()})
 	if err != nil {
 		return nil, err
 	}
@@ -215,8 +215,8 @@
 	if c.Trace {
 		dialect = &tracedBackends{dialect, log}
 	}
-	return backend.Options{Dialect: dialect, Connections: l.Connections, Total: b.Backends, Pipeline: l.Pipeline, RestS: l.RestS,
-		IdleS: l.IdleS, Connect: time.Duration(openS * float64(time.Second)), Strict: true, Loops: 1, Log: log}
+	return backend.Options{Dialect: dialect, Connections: l.Connections, MaxTotalConnections: b.Backends, Pipeline: l.Pipeline, ReuseDelayS: l.ReuseDelayS,
+		IdleTimeoutS: l.IdleTimeoutS, ConnectTimeout: time.Duration(openS * float64(time.Second)), StrictProbes: true, Loops: 1, Log: log}
 }
 
 func (e *Edge) run(f func()) {
@@ -232,9 +232,9 @@
 	if len(l.Servers) == 0 && !l.Whole {
 		return
 	}
-	e.pool.Located(l.Dial)
+	e.pool.SetAddresses(l.Dial)
 	select {
-	case <-e.loop.Servers(l.Servers, l.Whole):
+	case <-e.loop.UpdateServers(l.Servers, l.Whole):
 	case <-e.ran:
 	}
 	if len(l.Servers) > 0 {
@@ -290,7 +290,7 @@
 	defer tick.Stop()
 	for range tick.C {
 		s := e.loop.Status()
-		next := l.Next(e.clock.Now(), e.front.OpenConnections(), s.Held+s.Waiting)
+		next := l.Next(e.clock.Now(), e.front.OpenConnections(), s.OpenRequests+s.QueuedCalls)
 		if next == plan.Retire {
 			e.front.CloseWhenIdle()
 		} else if next == plan.Exit {
--- a/internal/edge/endpoints/endpoints_test.go
+++ b/internal/edge/endpoints/endpoints_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := policy.Server{ID: "s-1", Zone: "a", Cell: 3, State: policy.Up, Weight: 0.5, SinceS: 1.5}
+	want := policy.Server{ID: "s-1", Zone: "a", Cell: 3, State: policy.Up, Weight: 0.5, StartedAt: 1.5}
 	if l.Seq != 41 || !l.Whole || len(l.Servers) != 2 || l.Servers[0] != want || l.Servers[1].State != policy.Removed || l.Dial["s-1"] != "10.1.0.18:6379" {
 		t.Fatalf("%+v", l)
 	}
@@ -157,8 +157,8 @@
 // A list of a lower version does not bring back what drains or is gone, unless it has started anew; but it is not ignored:
 // a discovery that counts anew is followed from there.
 func TestLowerVersion(t *testing.T) {
-	at := func(id string, s policy.State, since float64) policy.Server {
-		return policy.Server{ID: id, State: s, SinceS: since}
+	at := func(id string, s policy.ServerState, since float64) policy.Server {
+		return policy.Server{ID: id, State: s, StartedAt: since}
 	}
 	states := func(l List) (text string) {
 		for _, s := range l.Servers {
--- a/internal/edge/plan/budget.go
+++ b/internal/edge/plan/budget.go
@@ -91,8 +91,8 @@
 // up behind a neighbour stays out until the neighbour has its answer: where two attempts of a request may not be out
 // at once, each connection carries one alone.
 func Links(t terms.Terms, b Budget) (l links.Limits, openS float64) {
-	l = links.Limits{Connections: b.Backends, Pipeline: 1, RestS: restS, IdleS: idleShare * t.ConnIdleS}
-	if t.Parallel {
+	l = links.Limits{Connections: b.Backends, Pipeline: 1, ReuseDelayS: restS, IdleTimeoutS: idleShare * t.ConnIdleS}
+	if t.ParallelAttempts {
 		l.Pipeline = min(lineMost, max(1, t.Multiplex))
 	}
 	if openS = t.DialTimeoutS; !(openS > 0) {
--- a/internal/edge/svc/backend.go
+++ b/internal/edge/svc/backend.go
@@ -54,9 +54,9 @@
 	return append(dst, "*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n"...)
 }
 
-// Reply reads an answer. An array that begins with the value is an answer whatever stands behind the value; an error
+// ParseReply reads an answer. An array that begins with the value is an answer whatever stands behind the value; an error
 // line of a backend says how the attempt ended; anything else is spoilt.
-func (Backends) Reply(reply []byte) (r core.Result, spoilt bool) {
+func (Backends) ParseReply(reply []byte) (r core.Result, spoilt bool) {
 	for _, e := range refusals {
 		if rest, is := bytes.CutPrefix(reply, e.words); is && (rest[0] == ' ' || rest[0] == '\r') {
 			line, _, _ := bytes.Cut(rest, []byte("\r\n"))
@@ -75,7 +75,7 @@
 var refusals = []struct {
 	words  []byte
 	status policy.Status
-}{{[]byte("-BUSY"), policy.Full}, {[]byte("-ERR failed"), policy.Error}}
+}{{[]byte("-BUSY"), policy.Rejected}, {[]byte("-ERR failed"), policy.Error}}
 
 // parts are the value and the load report of an answer: an array of a string that is not null, what was used, and the
 // report.
@@ -96,8 +96,8 @@
 	return part[0], part[2], true
 }
 
-// Load reads the answer to INFO load.
-func (Backends) Load(reply []byte) *policy.Load { return report(resp.Text(reply, limits)) }
+// ParseLoad reads the answer to INFO load.
+func (Backends) ParseLoad(reply []byte) *policy.Load { return report(resp.Text(reply, limits)) }
 
 // report reads a load report, as inflight=7,queue=2,util=0.61. Fields are named as the platform's pages or as the
 // settings name them. What can't be read is skipped; nil if nothing is left.
--- a/internal/edge/svc/front.go
+++ b/internal/edge/svc/front.go
@@ -59,10 +59,10 @@
 		return append(dst, a.Payload...)
 	case core.Refused:
 		dst = append(dst, "-BUSY"...)
-		if ms := math.Ceil(a.RetryS * 1000); f.book.settings.RetryAfter && ms > 0 {
+		if ms := math.Ceil(a.RetryAfterS * 1000); f.book.settings.RetryAfter && ms > 0 {
 			dst = strconv.AppendInt(append(dst, ' '), int64(ms), 10)
 		}
 		return append(dst, '\r', '\n')
 	}
-	return resp.AppendError(dst, "ERR "+a.Why)
+	return resp.AppendError(dst, "ERR "+a.Detail)
 }
--- a/internal/front/bounds_test.go
+++ b/internal/front/bounds_test.go
@@ -34,7 +34,7 @@
 	if err := <-sent; err != nil {
 		t.Fatal(err)
 	}
-	if counts := srv.Counts(); counts.ReadsPaused == 0 || counts.Terminated != 0 || counts.Input.Held != 0 {
+	if counts := srv.Counts(); counts.ReadsPaused == 0 || counts.Terminated != 0 || counts.Input.GrantedBytes != 0 {
 		t.Errorf("%+v: want reading paused and no connection terminated", counts)
 	}
 }
@@ -116,7 +116,7 @@
 		connect(t, addr, false).send(half)
 	}
 	waitFor(t, func() bool { return srv.Counts().Terminated > terminated })
-	if counts := srv.Counts(); counts.Input.Strangers > 256<<10 {
+	if counts := srv.Counts(); counts.Input.UnauthenticatedBytes > 256<<10 {
 		t.Errorf("%+v", counts.Input)
 	}
 	client := connect(t, addr, true) // a client that has logged in can still send a large command
@@ -136,7 +136,7 @@
 	}
 	waitFor(t, func() bool { counts := srv.Counts().Input; return counts.Waiting >= conns-input/bulk })
 	counts := srv.Counts()
-	if counts.Input.Held > input || counts.Terminated != 0 {
+	if counts.Input.GrantedBytes > input || counts.Terminated != 0 {
 		t.Errorf("%+v", counts)
 	}
 	if used, allowed := heapBytes()-before, input+conns*(readBufferBytes+32<<10); used > allowed { // includes the test's own clients
@@ -172,7 +172,7 @@
 		writers.Wait()
 		counts := srv.Counts()
 		b.ReportMetric(float64(heapBytes()-before)/1e6, "heap-MB")
-		b.ReportMetric(float64(counts.Input.Held)/1e6, "granted-MB")
+		b.ReportMetric(float64(counts.Input.GrantedBytes)/1e6, "granted-MB")
 		b.ReportMetric(float64(counts.Input.Waiting), "waiting")
 		b.ReportMetric(float64(counts.Terminated), "cut")
 	}
@@ -206,7 +206,7 @@
 		client.expect("", fmt.Sprintf("$%d\r\n%s\r\n", bulk, arg))
 	}
 	// The memory is released right after the reply.
-	waitFor(t, func() bool { counts := srv.Counts().Input; return counts.Held == 0 && counts.Waiting == 0 })
+	waitFor(t, func() bool { counts := srv.Counts().Input; return counts.GrantedBytes == 0 && counts.Waiting == 0 })
 	if counts := srv.Counts(); counts.Terminated != 0 {
 		t.Errorf("%+v", counts)
 	}
--- a/internal/front/closing.go
+++ b/internal/front/closing.go
@@ -38,7 +38,7 @@
 // closeIdle closes the loop's connections that are idle, and with includeIncomplete also others that wait for no reply.
 func (loop *connLoop) closeIdle(includeIncomplete bool) {
 	for conn := range loop.conns {
-		if conn.idle() && !conn.socket.Unread() || includeIncomplete && !conn.readingPaused && conn.pendingCount() == 0 {
+		if conn.idle() && !conn.socket.HasUnread() || includeIncomplete && !conn.readingPaused && conn.pendingCount() == 0 {
 			loop.apply(conn, loop.closeGracefully(conn, shuttingDown))
 		}
 	}
@@ -62,7 +62,7 @@
 	}
 	conn.logClose(unanswered)
 	if len(unanswered) > 0 {
-		srv.core.Gone(unanswered)
+		srv.core.Disconnected(unanswered)
 	}
 	conn.pending, conn.firstPending, conn.input = nil, 0, nil
 }
@@ -87,7 +87,7 @@
 			loop.server.terminated.Add(1)
 			conn.setReason(incompleteCommand)
 			conn.closeAfterReplies() // replies to earlier commands are still written
-		case conn.idle() && expired(conn.usage, nowS(), openConns) && !conn.socket.Unread():
+		case conn.idle() && expired(conn.usage, nowS(), openConns) && !conn.socket.HasUnread():
 			loop.apply(conn, loop.closeGracefully(conn, idleTooLong))
 		}
 	}
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -222,7 +222,7 @@
 	accepted := loop.server.core.Submit(loop.newCalls)
 	for _, call := range loop.newCalls[accepted:] {
 		command := call.Tag.(*pendingCommand)
-		call.Answer, command.done = core.Answer{Kind: core.Refused, Reason: core.Overfull, Why: "too many requests wait"}, true
+		call.Answer, command.done = core.Answer{Kind: core.Refused, Reason: core.Overloaded, Detail: "too many requests wait"}, true
 	}
 	clear(loop.newCalls)
 	loop.newCalls = loop.newCalls[:0]
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -66,7 +66,7 @@
 	return accepted
 }
 
-func (fake *fakeCore) Gone(calls []*core.Call) {
+func (fake *fakeCore) Disconnected(calls []*core.Call) {
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
 	fake.gone = append(fake.gone, calls...)
@@ -87,15 +87,15 @@
 		fake.held <- call
 		return
 	case strings.Contains(payload, "refuse"):
-		answer.Kind, answer.RetryS, answer.Why = core.Refused, 0.25, "over quota"
+		answer.Kind, answer.RetryAfterS, answer.Detail = core.Refused, 0.25, "over quota"
 	case strings.Contains(payload, "fail"):
-		answer.Kind, answer.Why = core.Failed, "may have run"
+		answer.Kind, answer.Detail = core.Failed, "may have run"
 	case strings.Contains(payload, "map"):
 		answer.Payload = []byte("%1\r\n+a\r\n:1\r\n")
-	case call.Limit && call.Units > 5:
-		answer.Kind, answer.Quota = core.Refused, core.Quota{Burst: 20, Room: 5.5, RetryS: 0.3, ResetS: 1.45}
-	case call.Limit:
-		answer.Kind, answer.Quota = core.Admitted, core.Quota{Burst: 20, Room: 19.5, ResetS: 0.05}
+	case call.QuotaOnly && call.Units > 5:
+		answer.Kind, answer.Quota = core.Refused, core.Quota{Burst: 20, Remaining: 5.5, RetryAfterS: 0.3, ResetS: 1.45}
+	case call.QuotaOnly:
+		answer.Kind, answer.Quota = core.Admitted, core.Quota{Burst: 20, Remaining: 19.5, ResetS: 0.05}
 	default:
 		answer.Payload = []byte("+did " + call.Key + "\r\n")
 	}
--- a/internal/front/input.go
+++ b/internal/front/input.go
@@ -12,17 +12,17 @@
 const overtakeLimitS = 2
 
 // reserveBeforeLogin requests memory for the input of a connection that has not logged in.
-func (srv *Server) reserveBeforeLogin(conn *clientConn, bytes int) intake.Verdict {
+func (srv *Server) reserveBeforeLogin(conn *clientConn, bytes int) intake.Decision {
 	srv.inputMu.Lock()
 	defer srv.inputMu.Unlock()
-	return srv.inputPool.Stranger(conn.id, bytes)
+	return srv.inputPool.HoldUnauthenticated(conn.id, bytes)
 }
 
 // reserveInput requests memory for the input of a connection that has logged in.
-func (srv *Server) reserveInput(conn *clientConn, bytes int) intake.Verdict {
+func (srv *Server) reserveInput(conn *clientConn, bytes int) intake.Decision {
 	srv.inputMu.Lock()
 	defer srv.inputMu.Unlock()
-	verdict, others := srv.inputPool.Ask(nowS(), conn.id, bytes)
+	verdict, others := srv.inputPool.Acquire(nowS(), conn.id, bytes)
 	if verdict == intake.Wait {
 		srv.awaitingInput[conn.id] = conn
 	}
@@ -34,7 +34,7 @@
 func (srv *Server) releaseInput(conn *clientConn) {
 	srv.inputMu.Lock()
 	defer srv.inputMu.Unlock()
-	srv.resumeGranted(srv.inputPool.Done(nowS(), conn.id))
+	srv.resumeGranted(srv.inputPool.Release(nowS(), conn.id))
 }
 
 // removeFromPool removes a connection from the pool, with the memory that it holds and any request for more.
@@ -42,7 +42,7 @@
 	srv.inputMu.Lock()
 	defer srv.inputMu.Unlock()
 	delete(srv.awaitingInput, conn.id)
-	srv.resumeGranted(srv.inputPool.Leave(nowS(), conn.id))
+	srv.resumeGranted(srv.inputPool.Remove(nowS(), conn.id))
 }
 
 // resumeGranted notifies connections, each on its own loop, that the pool has granted their requests. The caller holds inputMu.
@@ -95,7 +95,7 @@
 func (conn *clientConn) reserveInput() eventloop.Action {
 	srv := conn.loop.server
 	if conn.client == nil {
-		if conn.bytesBeforeLogin = len(conn.input); srv.reserveBeforeLogin(conn, len(conn.input)) == intake.Cut {
+		if conn.bytesBeforeLogin = len(conn.input); srv.reserveBeforeLogin(conn, len(conn.input)) == intake.Disconnect {
 			srv.terminated.Add(1)
 			conn.setReason(protocolViolation)
 			conn.input, conn.closing = nil, true
@@ -126,7 +126,7 @@
 	case needed <= conn.grantedBytes:
 		return eventloop.None
 	}
-	if srv.reserveInput(conn, needed) == intake.Go {
+	if srv.reserveInput(conn, needed) == intake.Proceed {
 		conn.grantedBytes = needed
 		if conn.minInput > cap(conn.input) {
 			conn.input = append(make([]byte, 0, conn.minInput), conn.input...)
--- a/internal/front/linger_test.go
+++ b/internal/front/linger_test.go
@@ -36,7 +36,7 @@
 
 // waitForInput waits, on the event loop, until the client's data has arrived in the socket.
 func waitForInput(conn *clientConn) {
-	for end := time.Now().Add(10 * time.Second); !conn.socket.Unread() && time.Now().Before(end); {
+	for end := time.Now().Add(10 * time.Second); !conn.socket.HasUnread() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/internal/front/output.go
+++ b/internal/front/output.go
@@ -140,7 +140,7 @@
 	switch {
 	case conn.closing && conn.pendingCount() == 0 && len(conn.unsent) == 0:
 		return loop.closeGracefully(conn, closeRequested)
-	case loop.server.closingIdle.Load() && conn.usage.Asked > 0 && conn.idle() && !conn.socket.Unread():
+	case loop.server.closingIdle.Load() && conn.usage.Asked > 0 && conn.idle() && !conn.socket.HasUnread():
 		return loop.closeGracefully(conn, shuttingDown)
 	}
 	return eventloop.None
@@ -158,14 +158,14 @@
 		return resp.AppendDowngraded(dst, answer.Payload, conn.loop.server.parserLimits)
 	case answer.Kind == core.Served:
 		return append(dst, answer.Payload...)
-	case command.call.Limit && (answer.Kind == core.Admitted || answer.Kind == core.Refused && answer.Reason == core.NoRoom):
+	case command.call.QuotaOnly && (answer.Kind == core.Admitted || answer.Kind == core.Refused && answer.Reason == core.NoCapacity):
 		return appendThrottle(dst, answer, command.call.Units)
-	case answer.Kind == core.Refused && answer.RetryS > 0:
-		return resp.AppendError(dst, "REFUSED retry in "+strconv.FormatFloat(answer.RetryS, 'f', 3, 64)+" s: "+answer.Why)
+	case answer.Kind == core.Refused && answer.RetryAfterS > 0:
+		return resp.AppendError(dst, "REFUSED retry in "+strconv.FormatFloat(answer.RetryAfterS, 'f', 3, 64)+" s: "+answer.Detail)
 	case answer.Kind == core.Refused:
-		return resp.AppendError(dst, "REFUSED "+answer.Why)
+		return resp.AppendError(dst, "REFUSED "+answer.Detail)
 	}
-	return resp.AppendError(dst, "FAILED "+answer.Why)
+	return resp.AppendError(dst, "FAILED "+answer.Detail)
 }
 
 // isRESP2Type reports whether a reply type exists in RESP version 2 and is no aggregate, which may contain other types.
@@ -176,13 +176,13 @@
 func appendThrottle(dst []byte, answer *core.Answer, units float64) []byte {
 	limited, retry := int64(0), int64(-1)
 	if answer.Kind == core.Refused && units > 0 {
-		limited, retry = 1, max(1, int64(math.Ceil(answer.Quota.RetryS)))
+		limited, retry = 1, max(1, int64(math.Ceil(answer.Quota.RetryAfterS)))
 	}
 	floor := func(x float64) int64 { return int64(min(math.Floor(x+1e-9), math.MaxInt32)) }
 	dst = resp.AppendArrayHeader(dst, 5)
 	dst = resp.AppendInt(dst, limited)
 	dst = resp.AppendInt(dst, floor(answer.Quota.Burst))
-	dst = resp.AppendInt(dst, floor(answer.Quota.Room))
+	dst = resp.AppendInt(dst, floor(answer.Quota.Remaining))
 	dst = resp.AppendInt(dst, retry)
 	return resp.AppendInt(dst, int64(math.Ceil(max(answer.Quota.ResetS, 0)-1e-9)))
 }
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -26,7 +26,7 @@
 // first one on. Gone reports calls whose client has disconnected.
 type Core interface {
 	Submit(calls []*core.Call) int
-	Gone(calls []*core.Call)
+	Disconnected(calls []*core.Call)
 }
 
 // CommandHandler interprets the commands of clients and encodes the replies. Its methods are called on the event loops,
@@ -121,11 +121,11 @@
 	if options.Handler != nil {
 		srv.parserLimits = options.Handler.Limits()
 	}
-	srv.inputPool = intake.New(intake.Limits{Free: readBufferBytes, Total: max(options.Limits.Input, options.Limits.Bulk),
-		Reserve: srv.parserLimits.Command, Strangers: max(options.Limits.Input/4, maxBytesBeforeLogin), PassS: overtakeLimitS})
+	srv.inputPool = intake.New(intake.Limits{FreeBytes: readBufferBytes, TotalBytes: max(options.Limits.Input, options.Limits.Bulk),
+		ReserveBytes: srv.parserLimits.Command, UnauthenticatedBytes: max(options.Limits.Input/4, maxBytesBeforeLogin), MaxOvertakeS: overtakeLimitS})
 	var err error
 	if srv.loopGroup, err = eventloop.New(srv, eventloop.Options{Loops: options.Loops, ReadBuffer: readBufferBytes,
-		EndsFirst: options.CloseOnClientEOF, Log: options.Log}); err != nil {
+		CloseOnPeerShutdown: options.CloseOnClientEOF, Log: options.Log}); err != nil {
 		return nil, fmt.Errorf("front: %w", err)
 	}
 	for _, eventLoop := range srv.loopGroup.Loops() {
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -47,7 +47,7 @@
 	cfg    *config.Config
 	log    zerolog.Logger
 	loop   *core.Loop
-	stalls *core.Stalls
+	stalls *core.PauseMonitor
 	pool   *backend.Pool
 	peers  *peer.Link
 	disc   *discovery.Client
@@ -77,14 +77,14 @@
 	if i.loop, err = core.NewLoop(s, seed, clock); err != nil {
 		return nil, err
 	}
-	i.stalls = core.NewStalls(clock)
+	i.stalls = core.NewPauseMonitor(clock)
 	loops := cfg.Loops
 	if loops == 0 {
 		loops = max(1, min(4, runtime.NumCPU()/2))
 	}
 	i.pool, err = backend.New(i.loop, backend.Options{
-		Dialect:     backend.Boxes{Name: fmt.Sprintf("cometpond-%d", cfg.Me), ByAnswer: cfg.Backend.Load == "answer"},
-		Connections: cfg.Backend.Connections, Pipeline: cfg.Backend.Pipeline, Connect: cfg.Backend.Connect,
+		Dialect:     backend.RESP{Name: fmt.Sprintf("cometpond-%d", cfg.Me), LoadInReplies: cfg.Backend.Load == "answer"},
+		Connections: cfg.Backend.Connections, Pipeline: cfg.Backend.Pipeline, ConnectTimeout: cfg.Backend.Connect,
 		Loops: max(1, loops/2), Log: opt.Log.With().Str("part", "backend").Logger()})
 	if err != nil {
 		return nil, err
@@ -120,7 +120,7 @@
 		lists = opt.Hooks.Lists(lists)
 	}
 	if cfg.Discovery == nil {
-		<-lists.Servers(cfg.Boxes, true)
+		<-lists.UpdateServers(cfg.Boxes, true)
 	} else {
 		i.disc = discovery.NewClient(*cfg.Discovery, fmt.Sprintf("cometpond-%d", cfg.Me), lists,
 			opt.Log.With().Str("part", "discovery").Logger())
@@ -141,7 +141,7 @@
 		}
 	}
 	i.front, err = front.Start(calls, front.Options{Listen: cfg.Listen, Loops: loops, Limits: cfg.Front, Registry: book,
-		Info: i.Info, InputAge: i.stalls.Age, FilterInput: opt.Hooks.Read, Log: opt.Log.With().Str("part", "front").Logger()})
+		Info: i.Info, InputAge: i.stalls.InputAge, FilterInput: opt.Hooks.Read, Log: opt.Log.With().Str("part", "front").Logger()})
 	if err != nil {
 		return nil, err
 	}
@@ -152,20 +152,20 @@
 type rpcCore struct {
 	front.Core
 	loop   *core.Loop
-	stalls *core.Stalls
+	stalls *core.PauseMonitor
 }
 
 // Submit hands calls in. When their connections were last read is not known here, so that after a stall all
 // are taken to have been sent when it began.
 func (c rpcCore) Submit(calls []*core.Call) int {
-	age, _ := c.stalls.Age(0, false)
+	age, _ := c.stalls.InputAge(0, false)
 	for _, k := range calls {
 		k.AgeS = age
 	}
 	return c.Core.Submit(calls)
 }
 
-func (c rpcCore) Return(calls []*core.Call) { c.loop.Return(calls) }
+func (c rpcCore) ReturnUnits(calls []*core.Call) { c.loop.ReturnUnits(calls) }
 
 func (i *Instance) run(f func()) {
 	i.parts.Add(1)
@@ -202,7 +202,7 @@
 	for waiting := true; waiting && quiet < 3; { // three looks: what is being read just now comes in between
 		select {
 		case <-tick.C:
-			if s := i.loop.Status(); s.Held+s.Waiting == 0 {
+			if s := i.loop.Status(); s.OpenRequests+s.QueuedCalls == 0 {
 				quiet++
 			} else {
 				quiet = 0
@@ -219,7 +219,7 @@
 	flush, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	i.front.Flush(flush)
-	i.log.Info().Int("settled", s.Held).Uint64("taken", s.Taken).Msg("stopped")
+	i.log.Info().Int("settled", s.OpenRequests).Uint64("taken", s.Received).Msg("stopped")
 	i.end()
 }
 
@@ -255,15 +255,15 @@
 	}
 	section("Server", "instance", i.cfg.Me, "zone", i.cfg.Zone, "uptime_in_seconds", int(time.Since(i.since).Seconds()))
 	s := i.loop.Status()
-	section("Requests", "taken", s.Taken, "served", s.Served, "refused", s.Refused, "failed", s.Failed, "admitted", s.Admitted,
-		"client_gone", s.Gone, "joined", s.Joined, "repeated", s.Repeated, "overfull", s.Overfull, "overdue", s.Overdue,
-		"stalls", i.stalls.Seen(), "too_late", s.TooLate, "in_flight", s.Held, "waiting", s.Waiting, "attempts", s.Attempts, "attempt_timeouts", s.Timeouts,
-		"late_answers", s.Late, "probes", s.Probes)
+	section("Requests", "taken", s.Received, "served", s.Served, "refused", s.Refused, "failed", s.Failed, "admitted", s.Admitted,
+		"client_gone", s.Disconnected, "joined", s.Joined, "repeated", s.Repeated, "overfull", s.Overloaded, "overdue", s.Overdue,
+		"stalls", i.stalls.PauseCount(), "too_late", s.DeadlinePassed, "in_flight", s.OpenRequests, "waiting", s.QueuedCalls, "attempts", s.Attempts, "attempt_timeouts", s.Timeouts,
+		"late_answers", s.LateResults, "probes", s.Probes)
 	if i.front != nil {
 		c := i.front.Counts()
 		section("Clients", "connections", c.Open, "connections_total", c.Opened, "connections_cut", c.Terminated, "commands", c.Commands,
-			"logins_denied", c.LoginsDenied, "connections_parked", c.ReadsPaused, "input_held", c.Input.Held, "input_waiting", c.Input.Waiting,
-			"input_strangers", c.Input.Strangers)
+			"logins_denied", c.LoginsDenied, "connections_parked", c.ReadsPaused, "input_held", c.Input.GrantedBytes, "input_waiting", c.Input.Waiting,
+			"input_strangers", c.Input.UnauthenticatedBytes)
 	}
 	if i.rpc != nil {
 		c := i.rpc.Counts()
@@ -271,7 +271,7 @@
 			"rpc_connections_cut", c.Cut)
 	}
 	p := i.pool.Counts()
-	section("Boxes", "box_connections", p.Open, "dials", p.Dials, "dials_failed", p.DialsFailed, "attempts_broken", p.Broken)
+	section("Boxes", "box_connections", p.OpenConnections, "dials", p.Dials, "dials_failed", p.DialsFailed, "attempts_broken", p.AttemptsBroken)
 	if i.disc != nil {
 		d := i.disc.State()
 		section("Discovery", "discovery_connected", d.Connected, "list_version", d.Version, "list_boxes", d.Boxes,
@@ -280,7 +280,7 @@
 	if i.peers != nil {
 		c := i.peers.Counts()
 		section("Peers", "messages_sent", c.Sent, "messages_unsent", c.Unsent, "messages_heard", c.Heard,
-			"messages_dropped", s.Dropped, "foreign", c.Foreign, "replayed", c.Replayed, "old", c.Old, "misdirected", c.WrongWay)
+			"messages_dropped", s.DroppedMessages, "foreign", c.Foreign, "replayed", c.Replayed, "old", c.Old, "misdirected", c.WrongWay)
 	}
 	return b.String()
 }
--- a/internal/instance/measure_test.go
+++ b/internal/instance/measure_test.go
@@ -106,7 +106,7 @@
 				ids[i] = byte(n >> (8 * i))
 			}
 			g.Request(1000+now, policy.Request{ID: string(ids), Class: "job-status", Plan: "wide", Customer: names[n%clients],
-				DeadlineS: 1002.5 + now, Entries: 1, Units: 1, Limit: true})
+				DeadlineAt: 1002.5 + now, GatewayCount: 1, Units: 1, QuotaOnly: true})
 		}
 	}
 	return float64(n) / time.Since(begin).Seconds()
@@ -121,7 +121,7 @@
 func (silent) Cancel(string, int)                     {}
 func (silent) SetTimer(uint64, float64)               {}
 func (silent) Probe(string)                           {}
-func (silent) Tell(int, []byte)                       {}
+func (silent) SendToPeer(int, []byte)                 {}
 func (silent) Log(string)                             {}
 
 // pump keeps one connection busy with a command, so many to a write, and returns the answers a second of
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -19,7 +19,7 @@
 
 // Sink takes messages of other instances.
 type Sink interface {
-	Heard(from int, data []byte)
+	QueueMessage(from int, data []byte)
 }
 
 // Counts are totals since the start.
@@ -122,7 +122,7 @@
 func (l *Link) listen(at *net.UDPAddr) error {
 	ctx, cancel := context.WithTimeout(context.Background(), listenFor)
 	defer cancel()
-	err := syserr.Retry(ctx, syserr.Busy, func() (err error) {
+	err := syserr.Retry(ctx, syserr.ListenRetryable, func() (err error) {
 		l.conn, err = net.ListenUDP("udp", at)
 		return err
 	})
@@ -132,12 +132,12 @@
 	return nil
 }
 
-// Tell sends a message to one instance, or to all others with policy.Broadcast; it never blocks.
-func (l *Link) Tell(instance int, data []byte) {
+// SendToPeer sends a message to one instance, or to all others with policy.Broadcast; it never blocks.
+func (l *Link) SendToPeer(instance int, data []byte) {
 	if instance == policy.Broadcast && l.all == nil {
 		for i := range l.addrs {
 			if i != l.me {
-				l.Tell(i, data)
+				l.SendToPeer(i, data)
 			}
 		}
 		return
@@ -202,7 +202,7 @@
 		switch {
 		case err == nil:
 			l.heard.Add(1)
-			l.sink.Heard(from, message)
+			l.sink.QueueMessage(from, message)
 		case errors.Is(err, ErrReplayed):
 			l.replayed.Add(1)
 		case errors.Is(err, ErrOld):
