--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -1,5 +1,5 @@
-// Package front serves clients that speak RESP: it parses commands, asks the core for rulings and writes
-// the answers in the order of the commands. It decides nothing about quotas, classes or boxes.
+// Package front serves clients that speak RESP. It parses commands, submits requests to the core and writes the replies in
+// the order of the commands. It makes no decisions about quotas, classes or servers.
 package front
 
 import (
@@ -22,273 +22,290 @@
 	"cometpond/internal/resp"
 )
 
-// Core is what a front needs of the core.
+// Core is the part of the core that the front uses. Submit takes calls and returns how many of them were accepted, from the
+// first one on. Gone reports calls whose client has disconnected.
 type Core interface {
 	Submit(calls []*core.Call) int
 	Disconnected(calls []*core.Call)
 }
 
-// CommandHandler is what the words of clients mean, and how rulings read to them. Its methods are called on the event
-// loops, several at once, and must not block.
+// CommandHandler interprets the commands of clients and encodes the replies. Its methods are called on the event loops,
+// possibly concurrently, and must not block.
 type CommandHandler interface {
-	// Command takes one command, one word at least. The words last until it returns. It calls Ask or Say once.
-	HandleCommand(c Conn, args [][]byte)
-	// Answer appends the final answer to a call that was asked.
-	AppendReply(dst []byte, c *core.Call) []byte
-	// Limits bound a command. What is beyond them ends the connection with an error.
+	// HandleCommand handles one command, which has at least one argument. The arguments are valid until it returns. It calls
+	// Conn.Submit or Conn.Reply exactly once.
+	HandleCommand(conn Conn, args [][]byte)
+	// AppendReply appends the reply to a call that was submitted and has its final answer.
+	AppendReply(dst []byte, call *core.Call) []byte
+	// Limits returns the size limits of a command. A command that exceeds them ends the connection with an error.
 	Limits() resp.Limits
 }
 
-// Conn is a client's connection as Commands see it.
+// Conn is a client's connection as a command handler sees it.
 type Conn interface {
-	Submit(c core.Call)  // has the core rule on the command
-	Reply(answer []byte) // answers it at once, or behind those that wait; the slice is copied
+	// Submit submits the command to the core.
+	Submit(call core.Call)
+	// Reply replies to the command without the core, after the replies to earlier commands. The slice is copied.
+	Reply(reply []byte)
 }
 
 // Options are the settings of a Server.
 type Options struct {
-	Listen string // host:port; port 0 takes a free one
-	Loops  int    // event loops, 1 at least
+	Listen string // host:port; port 0 selects a free port
+	Loops  int    // number of event loops, at least 1
 	Limits config.Front
-	// Commands are those of a world without logins, in which each command is an array of one word at least. Nil:
-	// this gateway's own, with the clients of Book.
+	// Handler handles the commands of clients that do not log in; each command is then an array of at least one
+	// argument. With nil the front serves this gateway's own commands, to the clients of Registry.
 	Handler  CommandHandler
 	Registry *access.Registry
-	// Leavers has a client that ends its connection, or its sending, count as gone at once, also while it is read no
-	// further: what it has asked is given up, and what it sent before its end is not read. Otherwise that is read first.
+	// CloseOnClientEOF makes the end of a client's connection, or of its sending side, take effect at once, even while
+	// reading is paused: its open requests are cancelled and input received before the end is discarded. Otherwise that
+	// input is processed first.
 	CloseOnClientEOF bool
-	IdleLimits       crowd.Limits  // when connections without a request give way; the zero value keeps them
-	Info             func() string // the text of INFO
-	// Age tells how long ago, at most, what is read now from a connection may have been sent, and the time of
-	// this reading; readAt is the time of its last one, and parked tells that it was not read since on purpose.
-	// Nil: nothing is old.
-	InputAge func(readAt float64, parked bool) (ageS, now float64)
-	// Read returns what is used of the bytes that have come in at once; nil: all of them. The rigs put the fault of losing
-	// some back.
+	IdleLimits       crowd.Limits  // when idle connections are closed or evicted; with the zero value they are kept
+	Info             func() string // returns the text of the INFO command
+	// InputAge returns the maximum age of the input that is being read, and the current time. readAt is the time of the
+	// previous read from the connection, and readingPaused means that reading was paused on purpose since then. With nil
+	// the age of input is always 0.
+	InputAge func(readAt float64, readingPaused bool) (ageS, now float64)
+	// FilterInput filters each chunk of input and returns the bytes to process; with nil all are processed. Fault injection
+	// uses it to lose input.
 	FilterInput func(data []byte) []byte
 	Log         zerolog.Logger
 }
 
-// Counts are totals since the start.
+// Counts are totals since the start, but for Open and Input, which are current values.
 type Counts struct {
+	// Connections opened and currently open; commands read; connections closed for exceeding a limit or violating the
+	// protocol; logins denied.
 	Opened, Open, Commands, Terminated, LoginsDenied uint64
-	ReadsPaused                                      uint64 // times that a connection was left unread for a while
-	Evicted                                          uint64 // connections closed for the sake of new ones
-	Abandoned                                        uint64 // requests whose connection ended here before their answer
+	ReadsPaused                                      uint64 // times that reading from a connection was paused
+	Evicted                                          uint64 // idle connections closed to make room for new ones
+	Abandoned                                        uint64 // requests whose connection was closed by this side before the reply
 	Input                                            intake.Counts
 }
 
-// Server is the front on its event loops.
+// Server accepts connections of clients and serves them on event loops.
 type Server struct {
-	opt      Options
-	core     Core
-	lim      resp.Limits
-	group    *eventloop.Group
-	stopping atomic.Bool
-	retiring atomic.Bool
-	sweeper  sync.WaitGroup
-	stop     chan struct{}
+	options      Options
+	core         Core
+	parserLimits resp.Limits
+	loopGroup    *eventloop.Group
+	rejectingNew atomic.Bool
+	closingIdle  atomic.Bool
+	sweeper      sync.WaitGroup
+	stopSweeper  chan struct{}
 
-	loops map[*eventloop.Loop]*loop
+	loops map[*eventloop.Loop]*connLoop
 
-	poolMu sync.Mutex // covers pool and asking
-	pool   *intake.Pool
-	asking map[uint64]*conn // connections that wait for the pool's word
+	inputMu       sync.Mutex // guards inputPool and awaitingInput
+	inputPool     *intake.Pool
+	awaitingInput map[uint64]*clientConn // connections that wait for the pool to grant them memory
 
-	lingering atomic.Int64 // connections whose sending side has ended
+	lingering atomic.Int64 // connections whose sending side this server has closed
 
-	nextID                                                         atomic.Uint64
-	opened, open, commands, cut, denied, parks, evicted, abandoned atomic.Uint64
+	nextID                                                                            atomic.Uint64
+	opened, open, commands, terminated, loginsDenied, readsPaused, evicted, abandoned atomic.Uint64
 }
 
-// listenFor is how long Start waits for an address that it can't have at once.
-const listenFor = 2 * time.Second
+// listenTimeout is how long Start keeps trying to listen on an address that is not available at once.
+const listenTimeout = 2 * time.Second
 
-// Start listens and serves until Stop.
-func Start(c Core, opt Options) (*Server, error) {
-	s := &Server{opt: opt, core: c, stop: make(chan struct{}), loops: map[*eventloop.Loop]*loop{}, asking: map[uint64]*conn{}}
-	s.boundByDescriptors()
-	s.lim = resp.DefaultLimits
-	s.lim.Bulk, s.lim.Command = opt.Limits.Bulk, opt.Limits.Bulk+aheadMost
-	if opt.Handler != nil {
-		s.lim = opt.Handler.Limits()
+// Start listens on the address in options and serves clients until Stop.
+func Start(target Core, options Options) (*Server, error) {
+	srv := &Server{options: options, core: target, stopSweeper: make(chan struct{}),
+		loops: map[*eventloop.Loop]*connLoop{}, awaitingInput: map[uint64]*clientConn{}}
+	srv.limitToDescriptors()
+	srv.parserLimits = resp.DefaultLimits
+	srv.parserLimits.Bulk, srv.parserLimits.Command = options.Limits.Bulk, options.Limits.Bulk+maxPipelinedBytes
+	if options.Handler != nil {
+		srv.parserLimits = options.Handler.Limits()
 	}
-	s.pool = intake.New(intake.Limits{FreeBytes: chunkMost, TotalBytes: max(opt.Limits.Input, opt.Limits.Bulk), ReserveBytes: s.lim.Command,
-		UnauthenticatedBytes: max(opt.Limits.Input/4, strangerMost), MaxOvertakeS: passAfter})
+	srv.inputPool = intake.New(intake.Limits{FreeBytes: readBufferBytes, TotalBytes: max(options.Limits.Input, options.Limits.Bulk),
+		ReserveBytes: srv.parserLimits.Command, UnauthenticatedBytes: max(options.Limits.Input/4, maxBytesBeforeLogin), MaxOvertakeS: overtakeLimitS})
 	var err error
-	if s.group, err = eventloop.New(s, eventloop.Options{Loops: opt.Loops, ReadBuffer: chunkMost, CloseOnPeerShutdown: opt.CloseOnClientEOF, Log: opt.Log}); err != nil {
+	if srv.loopGroup, err = eventloop.New(srv, eventloop.Options{Loops: options.Loops, ReadBuffer: readBufferBytes,
+		CloseOnPeerShutdown: options.CloseOnClientEOF, Log: options.Log}); err != nil {
 		return nil, fmt.Errorf("front: %w", err)
 	}
-	for _, el := range s.group.Loops() {
-		s.loops[el] = &loop{s: s, el: el, conns: map[*conn]struct{}{}}
+	for _, eventLoop := range srv.loopGroup.Loops() {
+		srv.loops[eventLoop] = &connLoop{server: srv, eventLoop: eventLoop, conns: map[*clientConn]struct{}{}}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), listenFor)
+	ctx, cancel := context.WithTimeout(context.Background(), listenTimeout)
 	defer cancel()
-	if err := s.group.Listen(ctx, opt.Listen); err != nil {
-		s.group.Stop()
-		return nil, fmt.Errorf("listen on %s: %w", opt.Listen, err)
+	if err := srv.loopGroup.Listen(ctx, options.Listen); err != nil {
+		srv.loopGroup.Stop()
+		return nil, fmt.Errorf("listen on %s: %w", options.Listen, err)
 	}
-	s.sweeper.Add(1)
-	go s.sweep()
-	return s, nil
+	srv.sweeper.Add(1)
+	go srv.sweepPeriodically()
+	return srv, nil
 }
 
-// boundByDescriptors lowers the bound on connections to what the system's limit of descriptors leaves room for: servers,
-// discovery and other instances need some as well.
-func (srv *Server) boundByDescriptors() {
-	var files unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &files); err != nil || files.Cur >= 1<<30 {
+// limitToDescriptors lowers the limit on connections according to the system's limit on file descriptors. A quarter and 64
+// descriptors are left for connections to servers, discovery and other instances.
+func (srv *Server) limitToDescriptors() {
+	var fileLimit unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &fileLimit); err != nil || fileLimit.Cur >= 1<<30 {
 		return
 	}
-	if most := max(1, int(files.Cur)*3/4-64); srv.opt.Limits.Connections > most {
-		srv.opt.Log.Warn().Int("connections", most).Uint64("descriptors", files.Cur).Msg("fewer connections than set: raise ulimit -n")
-		srv.opt.Limits.Connections = most
+	if maxConnections := max(1, int(fileLimit.Cur)*3/4-64); srv.options.Limits.Connections > maxConnections {
+		srv.options.Log.Warn().Int("connections", maxConnections).Uint64("descriptors", fileLimit.Cur).
+			Msg("connection limit lowered to fit the file descriptor limit; raise ulimit -n")
+		srv.options.Limits.Connections = maxConnections
 	}
 }
 
-// Addr is the address that the server listens on.
-func (srv *Server) Addr() net.Addr { return srv.group.Addr() }
+// Addr returns the address that the server listens on.
+func (srv *Server) Addr() net.Addr { return srv.loopGroup.Addr() }
 
-// RejectNewConnections turns new connections away; those that stand go on.
-func (srv *Server) RejectNewConnections() { srv.stopping.Store(true) }
+// RejectNewConnections makes the server reject new connections; existing ones are still served.
+func (srv *Server) RejectNewConnections() { srv.rejectingNew.Store(true) }
 
-// CloseWhenIdle ends each connection as soon as it has nothing open, new ones after their first answer.
+// CloseWhenIdle makes the server close each connection as soon as it has no open request, and new connections after their
+// first reply.
 func (srv *Server) CloseWhenIdle() {
-	if srv.retiring.CompareAndSwap(false, true) {
-		srv.look()
+	if srv.closingIdle.CompareAndSwap(false, true) {
+		srv.sweepLoops()
 	}
 }
 
-// OpenConnections is the number of connections that stand.
+// OpenConnections returns the number of open connections.
 func (srv *Server) OpenConnections() int { return int(srv.open.Load()) }
 
-// Flush returns once every answer handed over so far has been written or lies in a socket's buffer.
+// Flush returns once every reply produced so far has been handed to the operating system, or when ctx is done.
 func (srv *Server) Flush(ctx context.Context) {
-	for _, l := range srv.loops {
-		for behind := 1; behind > 0; {
+	for _, loop := range srv.loops {
+		for unsent := 1; unsent > 0; {
 			done := make(chan int, 1)
-			if l.el.Execute(func() { done <- len(l.behind) }) != nil {
+			if loop.eventLoop.Execute(func() { done <- len(loop.unsent) }) != nil {
 				break
 			}
 			select {
-			case behind = <-done:
+			case unsent = <-done:
 			case <-ctx.Done():
 				return
 			}
-			if behind > 0 {
-				time.Sleep(behindCheck)
+			if unsent > 0 {
+				time.Sleep(unsentCheckInterval)
 			}
 		}
 	}
 }
 
-// Stop ends all connections and returns when the loops have ended.
+// Stop closes all connections and returns when the event loops have ended.
 func (srv *Server) Stop(ctx context.Context) {
 	srv.RejectNewConnections()
-	srv.part(ctx)
-	close(srv.stop)
+	srv.closeAll(ctx)
+	close(srv.stopSweeper)
 	srv.sweeper.Wait()
-	srv.group.Stop()
+	srv.loopGroup.Stop()
 }
 
-func seconds() float64 { return time.Since(processStart).Seconds() }
+// nowS returns the time since the process started, in seconds.
+func nowS() float64 { return time.Since(processStart).Seconds() }
 
 var processStart = time.Now()
 
 // Counts returns the totals so far.
 func (srv *Server) Counts() Counts {
-	srv.poolMu.Lock()
-	input := srv.pool.Counts()
-	srv.poolMu.Unlock()
-	return Counts{srv.opened.Load(), srv.open.Load(), srv.commands.Load(), srv.cut.Load(), srv.denied.Load(), srv.parks.Load(), srv.evicted.Load(), srv.abandoned.Load(), input}
+	srv.inputMu.Lock()
+	input := srv.inputPool.Counts()
+	srv.inputMu.Unlock()
+	return Counts{srv.opened.Load(), srv.open.Load(), srv.commands.Load(), srv.terminated.Load(), srv.loginsDenied.Load(),
+		srv.readsPaused.Load(), srv.evicted.Load(), srv.abandoned.Load(), input}
 }
 
-// OnOpen takes a new connection in.
-func (srv *Server) OnOpen(c *eventloop.Conn) eventloop.Action {
+// OnOpen accepts or rejects a new connection. It implements eventloop.Handler.
+func (srv *Server) OnOpen(socket *eventloop.Conn) eventloop.Action {
 	srv.opened.Add(1)
 	open := srv.open.Add(1)
-	l := srv.loops[c.Loop()]
-	if most := srv.opt.Limits.Connections - srv.opt.Limits.Connections/lingerShare; int64(open)-srv.lingering.Load() > int64(most) && !l.evict() {
-		srv.cut.Add(1)
-		_, _ = c.Send([]byte("-ERR max number of clients reached\r\n")) // as much as it takes
-		return eventloop.Close                                          // unread: there is no descriptor to keep it with
+	loop := srv.loops[socket.Loop()]
+	if maxConnections := srv.options.Limits.Connections -
+		srv.options.Limits.Connections/lingerDivisor; int64(open)-srv.lingering.Load() > int64(maxConnections) && !loop.evict() {
+		srv.terminated.Add(1)
+		_, _ = socket.Send([]byte("-ERR max number of clients reached\r\n")) // best effort
+		// No lingering close: there is no descriptor to spare for one.
+		return eventloop.Close
 	}
-	k := &conn{c: c, loop: l, id: srv.nextID.Add(1), version: 2, since: time.Now()}
-	if srv.opt.Handler != nil {
-		k.client = &anyone
+	conn := &clientConn{socket: socket, loop: loop, id: srv.nextID.Add(1), respVersion: 2, openedAt: time.Now()}
+	if srv.options.Handler != nil {
+		conn.client = &anonymousClient
 	}
-	k.guest.Since = seconds()
-	l.conns[k] = struct{}{}
-	c.SetContext(k)
-	if srv.stopping.Load() && srv.opt.Handler == nil {
-		k.quit = true
-		k.because(shuttingDown)
-		k.say(func(b []byte) []byte { return resp.AppendError(b, "ERR this instance is shutting down") })
-		if act := l.write(k); act != eventloop.None {
-			return act
+	conn.usage.Since = nowS()
+	loop.conns[conn] = struct{}{}
+	socket.SetContext(conn)
+	if srv.rejectingNew.Load() && srv.options.Handler == nil {
+		conn.closing = true
+		conn.setReason(shuttingDown)
+		conn.replyWith(func(b []byte) []byte { return resp.AppendError(b, "ERR this instance is shutting down") })
+		if action := loop.writeOutput(conn); action != eventloop.None {
+			return action
 		}
-		return k.pump()
+		return conn.writeReplies()
 	}
 	return eventloop.None
 }
 
-// OnClose forgets a connection.
-func (srv *Server) OnClose(c *eventloop.Conn, err error) {
-	k, ok := c.Context().(*conn)
-	if !ok { // it was turned away
+// OnClose removes a connection that has been closed. It implements eventloop.Handler.
+func (srv *Server) OnClose(socket *eventloop.Conn, err error) {
+	conn, ok := socket.Context().(*clientConn)
+	if !ok { // rejected in OnOpen
 		srv.open.Add(^uint64(0))
 		return
 	}
-	k.ended(err)
-	k.loop.lost(k)
+	conn.recordClose(err)
+	conn.loop.removeConn(conn)
 }
 
-// OnData takes what has come in.
-func (srv *Server) OnData(c *eventloop.Conn, data []byte) eventloop.Action {
-	k, ok := c.Context().(*conn)
+// OnData processes input from a connection. It implements eventloop.Handler.
+func (srv *Server) OnData(socket *eventloop.Conn, data []byte) eventloop.Action {
+	conn, ok := socket.Context().(*clientConn)
 	if !ok {
 		return eventloop.Close
 	}
-	if srv.opt.FilterInput != nil {
-		data = srv.opt.FilterInput(data)
+	if srv.options.FilterInput != nil {
+		data = srv.options.FilterInput(data)
 	}
-	k.looked(false)
-	l := k.loop
-	l.awake(true)
-	act := k.arrived(data)
-	for act == eventloop.None && !l.awake(false) { // answers that came meanwhile, as a rule to what has just been read
-		l.run()
+	conn.recordInputAge(false)
+	loop := conn.loop
+	loop.setPolling(true)
+	action := conn.handleInput(data)
+	// Process answers that have arrived meanwhile, usually to the commands just read.
+	for action == eventloop.None && !loop.setPolling(false) {
+		loop.processInbox()
 	}
-	if act != eventloop.None && !l.awake(false) { // the connection ends: the answers are others', and their turn is next
-		l.sleep()
+	// The connection ends: the answers belong to other connections and are processed in a task of their own.
+	if action != eventloop.None && !loop.setPolling(false) {
+		loop.deferInbox()
 	}
-	return act
+	return action
 }
 
-// sweep looks once a second for connections that take up room and do nothing with it.
-func (srv *Server) sweep() {
+// sweepPeriodically checks all connections at least once a second, and closes those that use resources without making progress.
+func (srv *Server) sweepPeriodically() {
 	defer srv.sweeper.Done()
-	tick := time.NewTicker(min(time.Second, max(srv.opt.Limits.Partial/8, 10*time.Millisecond)))
+	tick := time.NewTicker(min(time.Second, max(srv.options.Limits.Partial/8, 10*time.Millisecond)))
 	defer tick.Stop()
 	for {
 		select {
-		case <-srv.stop:
+		case <-srv.stopSweeper:
 			return
 		case <-tick.C:
 		}
-		srv.poolMu.Lock()
-		srv.granted(srv.pool.Tick(seconds()))
-		srv.poolMu.Unlock()
-		srv.look()
+		srv.inputMu.Lock()
+		srv.resumeGranted(srv.inputPool.Tick(nowS()))
+		srv.inputMu.Unlock()
+		srv.sweepLoops()
 	}
 }
 
-// look has all loops look for connections that are to end.
-func (srv *Server) look() { srv.each((*loop).sweep) }
+// sweepLoops makes all event loops check which of their connections are to be closed.
+func (srv *Server) sweepLoops() { srv.onEachLoop((*connLoop).sweep) }
 
-// each runs f in every event loop; it does not wait.
-func (srv *Server) each(f func(l *loop)) {
-	for el, l := range srv.loops {
-		_ = el.Execute(func() { f(l) }) // an error means that the loops end, and then nothing is left to do
+// onEachLoop runs f on every event loop, without waiting for it.
+func (srv *Server) onEachLoop(f func(loop *connLoop)) {
+	for eventLoop, loop := range srv.loops {
+		_ = eventLoop.Execute(func() { f(loop) }) // an error means that the loops are ending, and nothing is left to do
 	}
 }
