--- a/internal/access/access.go
+++ b/internal/access/access.go
@@ -37,9 +37,9 @@
 // New returns the clients and commands of a configuration.
 func New(cfg *config.Config) *Registry {
 	reg := &Registry{clients: make(map[string]clientEntry, len(cfg.Clients)), commands: map[string]*config.Command{},
-		commandList: cfg.Commands, throttleClass: cfg.Throttle, maxUnits: cfg.MostUnits()}
+		commandList: cfg.Commands, throttleClass: cfg.ThrottleClass, maxUnits: cfg.MaxUnits()}
 	for _, client := range cfg.Clients {
-		reg.clients[client.Name] = clientEntry{&Client{client.Name, cfg.Plans[client.Plan].Name}, client.Secret}
+		reg.clients[client.Name] = clientEntry{&Client{client.Name, cfg.Plans[client.Plan].Name}, client.SecretHash}
 	}
 	for i := range cfg.Commands {
 		reg.commands[cfg.Commands[i].Name] = &cfg.Commands[i]
@@ -85,18 +85,18 @@
 		return core.Call{}, true, WrongArity(args[0])
 	}
 	units := command.Units
-	if command.UnitsAt > 0 {
-		n, err := strconv.Atoi(string(args[command.UnitsAt]))
+	if command.UnitsIndex > 0 {
+		n, err := strconv.Atoi(string(args[command.UnitsIndex]))
 		if err != nil || n < 1 || n > reg.maxUnits {
 			return core.Call{}, true, InvalidCommandError(fmt.Sprintf("word %d holds the units, want a whole number from 1 to %d",
-				command.UnitsAt, reg.maxUnits))
+				command.UnitsIndex, reg.maxUnits))
 		}
 		units = n
 	}
 	call := core.Call{Customer: client.Name, Plan: client.Plan, Class: command.Class, Units: float64(units),
 		Payload: resp.AppendArgs(nil, args)}
-	if command.KeyAt > 0 {
-		if call.Key = string(args[command.KeyAt]); call.Key == "" {
+	if command.KeyIndex > 0 {
+		if call.Key = string(args[command.KeyIndex]); call.Key == "" {
 			return core.Call{}, true, InvalidCommandError("the submission key is empty, want a name that is new for each submission")
 		}
 	}
--- a/internal/access/access_test.go
+++ b/internal/access/access_test.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Commands[1].UnitsAt = 1 // IMAGE.FETCH units
+	cfg.Commands[1].UnitsIndex = 1 // IMAGE.FETCH units
 	return New(cfg)
 }
 
--- a/internal/day/sabotage.go
+++ b/internal/day/sabotage.go
@@ -17,10 +17,10 @@
 	"cometpond/policy"
 )
 
-// Sabotage returns hooks with which an instance breaks one rule: drain, repeat, lost, ceiling or cold; or with
+// ViolationHooks returns hooks with which an instance breaks one rule: drain, repeat, lost, ceiling or cold; or with
 // which it loses input, "input", which breaks the rule that no request is lost. The
 // product knows nothing of them; they stand between its parts, so that the auditor can be tried.
-func Sabotage(rule string) (instance.Hooks, error) {
+func ViolationHooks(rule string) (instance.Hooks, error) {
 	make, ok := saboteurs[rule]
 	if !ok {
 		var names []string
@@ -36,12 +36,12 @@
 var saboteurs = map[string]func() instance.Hooks{
 	// Boxes that drain or are gone stay up in the instance's eyes.
 	"drain": func() instance.Hooks {
-		return instance.Hooks{Lists: func(s discovery.Sink) discovery.Sink { return &deaf{Sink: s, seen: map[string]policy.Server{}} }}
+		return instance.Hooks{ServerLists: func(s discovery.Sink) discovery.Sink { return &deaf{Sink: s, seen: map[string]policy.Server{}} }}
 	},
 	// Submissions go to a second room as well.
 	"repeat": func() instance.Hooks {
 		k := &rooms{}
-		return instance.Hooks{Lists: k.lists, Backend: func(b core.Backend) core.Backend { return &doubler{Backend: b, rooms: k} }}
+		return instance.Hooks{ServerLists: k.lists, Backend: func(b core.Backend) core.Backend { return &doubler{Backend: b, rooms: k} }}
 	},
 	// Every tenth call is taken and forgotten.
 	"lost": func() instance.Hooks {
@@ -49,7 +49,7 @@
 	},
 	// The head of a command that comes in more than one piece is thrown away, as the front once did.
 	"input": func() instance.Hooks {
-		return instance.Hooks{Read: func(data []byte) []byte {
+		return instance.Hooks{FilterInput: func(data []byte) []byte {
 			if _, _, _, err := resp.ParseCommand(data, nil, resp.DefaultLimits); errors.Is(err, resp.ErrIncomplete) {
 				return nil
 			}
@@ -67,7 +67,7 @@
 	// A box that has just started gets all work.
 	"cold": func() instance.Hooks {
 		k := &rooms{}
-		return instance.Hooks{Lists: k.lists, Backend: func(b core.Backend) core.Backend { return &crowd{Backend: b, rooms: k} }}
+		return instance.Hooks{ServerLists: k.lists, Backend: func(b core.Backend) core.Backend { return &crowd{Backend: b, rooms: k} }}
 	},
 }
 
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -31,7 +31,7 @@
 	loop   *core.Loop
 	stalls *core.PauseMonitor
 	pool   *backend.Pool
-	peers  *peer.Link
+	peers  *peer.Transport
 	disc   *endpoints.Client
 	front  *front.Server
 
--- a/internal/front/bounds_test.go
+++ b/internal/front/bounds_test.go
@@ -16,7 +16,7 @@
 
 // A client sends far more commands than it may have in flight before it reads: reading from it is paused, and it loses nothing.
 func TestLongPipelinePausesReading(t *testing.T) {
-	srv, _, addr := startServer(t, func(limits *config.Front) { limits.Pipeline = 100; limits.Bulk = 64 << 10 })
+	srv, _, addr := startServer(t, func(limits *config.FrontLimits) { limits.MaxPipelined = 100; limits.MaxArgumentBytes = 64 << 10 })
 	client := connect(t, addr, true)
 	const n = 40_000
 	sent := make(chan error, 1)
@@ -41,7 +41,7 @@
 
 // A connection whose reading is paused while it waits for answers gets all replies, and reading resumes.
 func TestReadingPausedUntilAnswered(t *testing.T) {
-	srv, fake, addr := startServer(t, func(limits *config.Front) { limits.Pipeline = 10; limits.Bulk = 64 << 10 })
+	srv, fake, addr := startServer(t, func(limits *config.FrontLimits) { limits.MaxPipelined = 10; limits.MaxArgumentBytes = 64 << 10 })
 	client := connect(t, addr, true)
 	go func() {
 		_, _ = io.WriteString(client, strings.Repeat("JOB.STATUS hold\r\n", 30)+
@@ -57,7 +57,7 @@
 
 // A disconnect is detected while reading is paused, and the server can stop with such connections open.
 func TestDisconnectWhileReadingPaused(t *testing.T) {
-	srv, fake, addr := startServer(t, func(limits *config.Front) { limits.Pipeline = 10; limits.Bulk = 64 << 10 })
+	srv, fake, addr := startServer(t, func(limits *config.FrontLimits) { limits.MaxPipelined = 10; limits.MaxArgumentBytes = 64 << 10 })
 	for range 2 {
 		client := connect(t, addr, true)
 		client.send(strings.Repeat("JOB.STATUS hold\r\n", 10) + strings.Repeat("ECHO "+strings.Repeat("y", 1000)+"\r\n", 50))
@@ -78,7 +78,10 @@
 
 // A client that reads slowly gets replies of many times the size that may be unsent.
 func TestSlowReader(t *testing.T) {
-	srv, _, addr := startServer(t, func(limits *config.Front) { limits.Output = 64 << 10; limits.Bulk = 512 << 10 })
+	srv, _, addr := startServer(t, func(limits *config.FrontLimits) {
+		limits.MaxUnreadBytes = 64 << 10
+		limits.MaxArgumentBytes = 512 << 10
+	})
 	client := connect(t, addr, true)
 	arg := strings.Repeat("z", 400<<10)
 	const n = 40 // 16 MB of replies
@@ -99,7 +102,11 @@
 
 // Clients that have not logged in are held to lower limits, each one and all together, and can't lock others out.
 func TestLimitsBeforeLogin(t *testing.T) {
-	srv, _, addr := startServer(t, func(limits *config.Front) { limits.Input = 1 << 20; limits.Bulk = 512 << 10; limits.Connections = 1000 })
+	srv, _, addr := startServer(t, func(limits *config.FrontLimits) {
+		limits.MaxInputBytes = 1 << 20
+		limits.MaxArgumentBytes = 512 << 10
+		limits.MaxConnections = 1000
+	})
 	for in, want := range map[string]string{
 		"*11\r\n":                        "-ERR Protocol error: invalid multibulk length\r\n",
 		"*2\r\n$4\r\nECHO\r\n$16385\r\n": "-ERR Protocol error: invalid bulk length\r\n",
@@ -127,7 +134,7 @@
 // Many connections that send half of the largest command and stop use no more memory than allowed, and others are served.
 func TestIncompleteLargeCommands(t *testing.T) {
 	const conns, bulk, input = 400, 512 << 10, 8 << 20
-	srv, _, addr := startServer(t, func(limits *config.Front) { limits.Bulk, limits.Input = bulk, input })
+	srv, _, addr := startServer(t, func(limits *config.FrontLimits) { limits.MaxArgumentBytes, limits.MaxInputBytes = bulk, input })
 	half := fmt.Sprintf("*2\r\n$4\r\nECHO\r\n$%d\r\n%s", bulk, strings.Repeat("x", bulk/2))
 	before := heapBytes()
 	for range conns {
@@ -153,7 +160,9 @@
 	const conns, bulk = 5000, 512 << 10
 	half := fmt.Sprintf("*2\r\n$4\r\nECHO\r\n$%d\r\n%s", bulk, strings.Repeat("x", bulk/2))
 	for range b.N {
-		srv, _, addr := startServer(b, func(limits *config.Front) { limits.Bulk, limits.Input, limits.Connections = bulk, 64<<20, 6000 })
+		srv, _, addr := startServer(b, func(limits *config.FrontLimits) {
+			limits.MaxArgumentBytes, limits.MaxInputBytes, limits.MaxConnections = bulk, 64<<20, 6000
+		})
 		before := heapBytes()
 		var writers sync.WaitGroup
 		for range conns {
@@ -189,7 +198,7 @@
 // When input memory is free again, the connections that wait for it resume, and their commands are complete.
 func TestWaitingCommandsResume(t *testing.T) {
 	const bulk = 512 << 10
-	srv, _, addr := startServer(t, func(limits *config.Front) { limits.Bulk, limits.Input = bulk, 1<<20 })
+	srv, _, addr := startServer(t, func(limits *config.FrontLimits) { limits.MaxArgumentBytes, limits.MaxInputBytes = bulk, 1<<20 })
 	arg := strings.Repeat("q", bulk)
 	whole := string(resp.AppendCommand(nil, "ECHO", arg))
 	var clients []*testClient
--- a/internal/front/closing.go
+++ b/internal/front/closing.go
@@ -70,13 +70,13 @@
 // sweep closes connections whose command has been incomplete for too long, that have not logged in for too long, that have
 // been idle for too long, or that have lingered for too long.
 func (loop *connLoop) sweep() {
-	now, maxWait := time.Now(), loop.server.options.Limits.Partial
+	now, maxWait := time.Now(), loop.server.options.Limits.PartialTimeout
 	for len(loop.lingering) > 0 && loop.lingering[0].lingerUntil < nowS() {
 		loop.closeOldestLingering()
 	}
-	openConns, expired := int(loop.server.open.Load()), loop.server.options.IdleLimits.Leaves
+	openConns, expired := int(loop.server.open.Load()), loop.server.options.IdleLimits.ShouldClose
 	if loop.server.closingIdle.Load() {
-		expired = loop.server.options.IdleLimits.Retires
+		expired = loop.server.options.IdleLimits.ShouldCloseOnShutdown
 	}
 	for conn := range loop.conns {
 		overdue := !conn.incompleteSince.IsZero() && now.Sub(conn.incompleteSince) > maxWait && !conn.awaitingMemory ||
@@ -106,9 +106,9 @@
 	var candidate *clientConn
 	now, idleLimits := nowS(), loop.server.options.IdleLimits
 	for conn := range loop.conns {
-		conn.usage.Begun = len(conn.input) > 0
-		if conn.settled() && (!conn.usage.Begun || conn.usage.Asked == 0) && idleLimits.Evictable(conn.usage, now) &&
-			(candidate == nil || idleLimits.Before(conn.usage, candidate.usage)) {
+		conn.usage.CommandStarted = len(conn.input) > 0
+		if conn.settled() && (!conn.usage.CommandStarted || conn.usage.Commands == 0) && idleLimits.Evictable(conn.usage, now) &&
+			(candidate == nil || idleLimits.EvictedBefore(conn.usage, candidate.usage)) {
 			candidate = conn
 		}
 	}
@@ -116,7 +116,7 @@
 		return false
 	}
 	loop.server.evicted.Add(1)
-	if loop.apply(candidate, loop.closeGracefully(candidate, evictedForNew)); !candidate.closed && candidate.usage.Asked == 0 {
+	if loop.apply(candidate, loop.closeGracefully(candidate, evictedForNew)); !candidate.closed && candidate.usage.Commands == 0 {
 		loop.closeConn(candidate, evictedForNew) // nothing was sent that a reset could destroy
 	}
 	return true
@@ -153,7 +153,7 @@
 	loop.server.lingering.Add(1)
 	loop.lingering = append(loop.lingering, conn)
 	// During a shutdown there are no new connections that would need the descriptors.
-	for maxLingering := max(1, loop.server.options.Limits.Connections/lingerDivisor); len(loop.lingering) > maxLingering &&
+	for maxLingering := max(1, loop.server.options.Limits.MaxConnections/lingerDivisor); len(loop.lingering) > maxLingering &&
 		!loop.server.closingIdle.Load(); {
 		loop.closeOldestLingering()
 	}
--- a/internal/front/commands_test.go
+++ b/internal/front/commands_test.go
@@ -33,10 +33,12 @@
 }
 
 // withoutLogin returns changes of the settings for clients without a login, one event loop and at most so many connections.
-func withoutLogin(maxConnections int) (func(*config.Front), func(*Options)) {
-	return func(limits *config.Front) { limits.Connections, limits.Partial = maxConnections, time.Minute },
+func withoutLogin(maxConnections int) (func(*config.FrontLimits), func(*Options)) {
+	return func(limits *config.FrontLimits) {
+			limits.MaxConnections, limits.PartialTimeout = maxConnections, time.Minute
+		},
 		func(options *Options) {
-			options.Handler, options.Loops, options.IdleLimits = echoHandler{}, 1, crowd.Standard(maxConnections, 60)
+			options.Handler, options.Loops, options.IdleLimits = echoHandler{}, 1, crowd.DefaultLimits(maxConnections, 60)
 		}
 }
 
@@ -113,7 +115,7 @@
 
 // CloseWhenIdle closes idle connections at once, and the others after their replies.
 func TestCloseWhenIdle(t *testing.T) {
-	srv, fake, addr := startServerWith(t, func(limits *config.Front) { limits.Partial = 100 * time.Millisecond },
+	srv, fake, addr := startServerWith(t, func(limits *config.FrontLimits) { limits.PartialTimeout = 100 * time.Millisecond },
 		func(options *Options) { options.Handler = echoHandler{} })
 	idle, busy := dialClient(t, addr), dialClient(t, addr)
 	idle.expectLine(sayCommand, "+said\r\n")
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -23,7 +23,7 @@
 	name             string            // set by CLIENT SETNAME
 	respVersion      int               // of RESP: 2 or 3
 	openedAt         time.Time         // when it was opened
-	usage            crowd.Guest       // its use so far, for closing and evicting idle connections
+	usage            crowd.Connection  // its use so far, for closing and evicting idle connections
 	input            []byte            // input not processed yet: the beginning of a command, or commands to be parsed later
 	minInput         int               // length of input below which parsing can't make progress
 	incompleteSince  time.Time         // when the command that is still incomplete began to arrive, zero if there is none
@@ -128,7 +128,7 @@
 	var protocolErr error
 	conn.minInput, conn.parsingPaused = 0, false
 	for used < len(data) && !conn.closing {
-		if conn.pendingCount() >= srv.options.Limits.Pipeline || len(loop.output) >= outputBatchBytes {
+		if conn.pendingCount() >= srv.options.Limits.MaxPipelined || len(loop.output) >= outputBatchBytes {
 			conn.parsingPaused = true
 			break
 		}
@@ -144,7 +144,7 @@
 		used += length
 		if len(args) > 0 {
 			srv.commands.Add(1)
-			conn.usage.Asked++
+			conn.usage.Commands++
 			if srv.options.Handler != nil {
 				srv.options.Handler.HandleCommand(conn, args)
 			} else {
@@ -157,7 +157,7 @@
 	}
 	clear(conn.args)
 	if used > 0 {
-		conn.usage.LastS = nowS()
+		conn.usage.LastUsedAtS = nowS()
 		conn.incompleteSince, conn.inputSentAt = time.Time{}, conn.lastReadSentAt // the rest is from the last read
 	}
 	if conn.minInput > 0 && conn.incompleteSince.IsZero() {
@@ -182,7 +182,7 @@
 	}
 	if conn.congested && len(conn.input) > 0 {
 		conn.parsingPaused = true
-	} else if conn.parsingPaused && conn.pendingCount() < srv.options.Limits.Pipeline {
+	} else if conn.parsingPaused && conn.pendingCount() < srv.options.Limits.MaxPipelined {
 		// Parsing was paused only because the output batch was full.
 		return conn.parseBuffered()
 	}
@@ -199,7 +199,7 @@
 			conn.firstUnanswered++
 		}
 		if !conn.awaitingMemory && !conn.congested && (!conn.parsingPaused ||
-			len(conn.pending)-conn.firstUnanswered <= conn.loop.server.options.Limits.Pipeline/2) {
+			len(conn.pending)-conn.firstUnanswered <= conn.loop.server.options.Limits.MaxPipelined/2) {
 			return conn.resumeReading()
 		}
 		return eventloop.None
@@ -207,7 +207,7 @@
 	if action := conn.writeReplies(); action != eventloop.None || conn.congested {
 		return action
 	}
-	if conn.parsingPaused && conn.pendingCount() <= conn.loop.server.options.Limits.Pipeline/2 {
+	if conn.parsingPaused && conn.pendingCount() <= conn.loop.server.options.Limits.MaxPipelined/2 {
 		return conn.parseBuffered()
 	}
 	return eventloop.None
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -121,16 +121,16 @@
 	return access.New(cfg)
 }
 
-func startServer(t testing.TB, changeLimits func(*config.Front)) (*Server, *fakeCore, string) {
+func startServer(t testing.TB, changeLimits func(*config.FrontLimits)) (*Server, *fakeCore, string) {
 	t.Helper()
 	return startServerWith(t, changeLimits, nil)
 }
 
 // startServerWith starts a server with a fake core until the end of the test. It returns both, and the server's address.
-func startServerWith(t testing.TB, changeLimits func(*config.Front), changeOptions func(*Options)) (*Server, *fakeCore, string) {
+func startServerWith(t testing.TB, changeLimits func(*config.FrontLimits), changeOptions func(*Options)) (*Server, *fakeCore, string) {
 	t.Helper()
 	fake := newFakeCore()
-	limits := config.Front{Connections: 1000, Bulk: 4096, Pipeline: 500, Output: 1 << 20, Partial: time.Minute}
+	limits := config.FrontLimits{MaxConnections: 1000, MaxArgumentBytes: 4096, MaxPipelined: 500, MaxUnreadBytes: 1 << 20, PartialTimeout: time.Minute}
 	if changeLimits != nil {
 		changeLimits(&limits)
 	}
@@ -302,7 +302,7 @@
 
 func TestLimits(t *testing.T) {
 	t.Run("slow command", func(t *testing.T) {
-		srv, _, addr := startServer(t, func(limits *config.Front) { limits.Partial = 100 * time.Millisecond })
+		srv, _, addr := startServer(t, func(limits *config.FrontLimits) { limits.PartialTimeout = 100 * time.Millisecond })
 		silent, slow := connect(t, addr, false), connect(t, addr, true)
 		slow.send("*1\r\n$4\r\nPI")
 		idle := connect(t, addr, true)
@@ -314,7 +314,9 @@
 		}
 	})
 	t.Run("client that never reads", func(t *testing.T) {
-		srv, _, addr := startServer(t, func(limits *config.Front) { limits.Output, limits.Partial = 64<<10, 300*time.Millisecond })
+		srv, _, addr := startServer(t, func(limits *config.FrontLimits) {
+			limits.MaxUnreadBytes, limits.PartialTimeout = 64<<10, 300*time.Millisecond
+		})
 		client := connect(t, addr, true)
 		big := "ECHO " + strings.Repeat("x", 4000) + "\r\n"
 		for srv.Counts().Terminated == 0 {
@@ -325,7 +327,7 @@
 		waitFor(t, func() bool { return srv.Counts().Open == 0 })
 	})
 	t.Run("pipeline", func(t *testing.T) {
-		_, fake, addr := startServer(t, func(limits *config.Front) { limits.Pipeline = 10 })
+		_, fake, addr := startServer(t, func(limits *config.FrontLimits) { limits.MaxPipelined = 10 })
 		client := connect(t, addr, true)
 		client.send(strings.Repeat("JOB.STATUS hold\r\n", 25))
 		for n := range 25 {
@@ -338,7 +340,7 @@
 		client.expect("", strings.Repeat("+ok\r\n", 25))
 	})
 	t.Run("connections", func(t *testing.T) {
-		srv, _, addr := startServer(t, func(limits *config.Front) { limits.Connections = 2 })
+		srv, _, addr := startServer(t, func(limits *config.FrontLimits) { limits.MaxConnections = 2 })
 		connect(t, addr, true)
 		connect(t, addr, true)
 		connect(t, addr, false).expectClose("-ERR max number of clients reached\r\n")
--- a/internal/front/linger_test.go
+++ b/internal/front/linger_test.go
@@ -66,7 +66,7 @@
 	runInLoop(t, srv, func(loop *connLoop, conn *clientConn) {
 		client.write(sayCommand)
 		waitForInput(conn)
-		conn.usage.LastS = -1e9 // idle for a very long time
+		conn.usage.LastUsedAtS = -1e9 // idle for a very long time
 		loop.sweep()
 	})
 	if line, err := client.reader.ReadString('\n'); line != "+said\r\n" {
@@ -82,7 +82,7 @@
 	client := dialClient(t, addr)
 	client.expectLine("*1\r\n$2\r\nGO\r\n", "+did GO\r\n")
 	runInLoop(t, srv, func(loop *connLoop, conn *clientConn) {
-		conn.usage.LastS = -1e9
+		conn.usage.LastUsedAtS = -1e9
 		loop.sweep()
 		client.write("*1\r\n$2\r\nGO\r\n")
 		waitForInput(conn)
@@ -131,7 +131,7 @@
 
 // The second of two commands is never completed: the first still gets its reply before the connection is closed.
 func TestIncompleteCommandAfterOpenRequest(t *testing.T) {
-	srv, fake, addr := startServerWith(t, func(limits *config.Front) { limits.Partial = 50 * time.Millisecond },
+	srv, fake, addr := startServerWith(t, func(limits *config.FrontLimits) { limits.PartialTimeout = 50 * time.Millisecond },
 		func(options *Options) { options.Handler, options.Loops = echoHandler{}, 1 })
 	client := dialClient(t, addr)
 	client.write(holdCommand + sayCommand[:5])
@@ -175,7 +175,7 @@
 // A client disconnects while reading is paused and input before the end is unread: all its open requests are cancelled, and
 // the unread ones are not submitted.
 func TestClientEOFWhileReadingPaused(t *testing.T) {
-	srv, fake, addr := startServerWith(t, func(limits *config.Front) { limits.Pipeline = 10 }, func(options *Options) {
+	srv, fake, addr := startServerWith(t, func(limits *config.FrontLimits) { limits.MaxPipelined = 10 }, func(options *Options) {
 		options.Handler, options.Loops, options.CloseOnClientEOF = echoHandler{}, 1, true
 	})
 	for _, disconnect := range []func(client *testClient) error{(*testClient).Close,
--- a/internal/front/output.go
+++ b/internal/front/output.go
@@ -37,12 +37,12 @@
 			conn.unsentSince = time.Now()
 			conn.unsent = conn.unsent[:copy(conn.unsent, conn.unsent[sent:])]
 		}
-		if conn.congested = len(conn.unsent) > min(maxUnsentBytes, loop.server.options.Limits.Output/2); len(conn.unsent) > 0 {
+		if conn.congested = len(conn.unsent) > min(maxUnsentBytes, loop.server.options.Limits.MaxUnreadBytes/2); len(conn.unsent) > 0 {
 			loop.unsent = append(loop.unsent, conn)
 		} else {
 			conn.unsent = nil
 		}
-		if err != nil || len(conn.unsent) > 0 && time.Since(conn.unsentSince) > loop.server.options.Limits.Partial {
+		if err != nil || len(conn.unsent) > 0 && time.Since(conn.unsentSince) > loop.server.options.Limits.PartialTimeout {
 			loop.server.terminated.Add(1)
 			if conn.closeError = err; err != nil {
 				conn.setReason(writeFailed)
@@ -102,7 +102,7 @@
 			loop.trackUnsent(conn)
 		}
 		conn.unsent = append(conn.unsent, data...)
-		conn.congested = len(conn.unsent) > min(maxUnsentBytes, loop.server.options.Limits.Output/2)
+		conn.congested = len(conn.unsent) > min(maxUnsentBytes, loop.server.options.Limits.MaxUnreadBytes/2)
 	}
 	loop.output = loop.output[:0]
 	if cap(loop.output) > 1<<20 {
@@ -115,7 +115,7 @@
 func (conn *clientConn) writeReplies() eventloop.Action {
 	loop := conn.loop
 	if conn.firstPending < len(conn.pending) && conn.pending[conn.firstPending].done {
-		conn.usage.LastS = nowS()
+		conn.usage.LastUsedAtS = nowS()
 	}
 	for conn.firstPending < len(conn.pending) && conn.pending[conn.firstPending].done && !conn.congested {
 		loop.output = conn.appendReply(loop.output, conn.pending[conn.firstPending])
@@ -140,7 +140,7 @@
 	switch {
 	case conn.closing && conn.pendingCount() == 0 && len(conn.unsent) == 0:
 		return loop.closeGracefully(conn, closeRequested)
-	case loop.server.closingIdle.Load() && conn.usage.Asked > 0 && conn.idle() && !conn.socket.HasUnread():
+	case loop.server.closingIdle.Load() && conn.usage.Commands > 0 && conn.idle() && !conn.socket.HasUnread():
 		return loop.closeGracefully(conn, shuttingDown)
 	}
 	return eventloop.None
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -53,7 +53,7 @@
 type Options struct {
 	Listen string // host:port; port 0 selects a free port
 	Loops  int    // number of event loops, at least 1
-	Limits config.Front
+	Limits config.FrontLimits
 	// Handler handles the commands of clients that do not log in; each command is then an array of at least one
 	// argument. With nil the front serves this gateway's own commands, to the clients of Registry.
 	Handler  CommandHandler
@@ -117,12 +117,12 @@
 		loops: map[*eventloop.Loop]*connLoop{}, awaitingInput: map[uint64]*clientConn{}}
 	srv.limitToDescriptors()
 	srv.parserLimits = resp.DefaultLimits
-	srv.parserLimits.Bulk, srv.parserLimits.Command = options.Limits.Bulk, options.Limits.Bulk+maxPipelinedBytes
+	srv.parserLimits.Bulk, srv.parserLimits.Command = options.Limits.MaxArgumentBytes, options.Limits.MaxArgumentBytes+maxPipelinedBytes
 	if options.Handler != nil {
 		srv.parserLimits = options.Handler.Limits()
 	}
-	srv.inputPool = intake.New(intake.Limits{FreeBytes: readBufferBytes, TotalBytes: max(options.Limits.Input, options.Limits.Bulk),
-		ReserveBytes: srv.parserLimits.Command, UnauthenticatedBytes: max(options.Limits.Input/4, maxBytesBeforeLogin), MaxOvertakeS: overtakeLimitS})
+	srv.inputPool = intake.New(intake.Limits{FreeBytes: readBufferBytes, TotalBytes: max(options.Limits.MaxInputBytes, options.Limits.MaxArgumentBytes),
+		ReserveBytes: srv.parserLimits.Command, UnauthenticatedBytes: max(options.Limits.MaxInputBytes/4, maxBytesBeforeLogin), MaxOvertakeS: overtakeLimitS})
 	var err error
 	if srv.loopGroup, err = eventloop.New(srv, eventloop.Options{Loops: options.Loops, ReadBuffer: readBufferBytes,
 		CloseOnPeerShutdown: options.CloseOnClientEOF, Log: options.Log}); err != nil {
@@ -149,10 +149,10 @@
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &fileLimit); err != nil || fileLimit.Cur >= 1<<30 {
 		return
 	}
-	if maxConnections := max(1, int(fileLimit.Cur)*3/4-64); srv.options.Limits.Connections > maxConnections {
+	if maxConnections := max(1, int(fileLimit.Cur)*3/4-64); srv.options.Limits.MaxConnections > maxConnections {
 		srv.options.Log.Warn().Int("connections", maxConnections).Uint64("descriptors", fileLimit.Cur).
 			Msg("connection limit lowered to fit the file descriptor limit; raise ulimit -n")
-		srv.options.Limits.Connections = maxConnections
+		srv.options.Limits.MaxConnections = maxConnections
 	}
 }
 
@@ -221,8 +221,8 @@
 	srv.opened.Add(1)
 	open := srv.open.Add(1)
 	loop := srv.loops[socket.Loop()]
-	if maxConnections := srv.options.Limits.Connections -
-		srv.options.Limits.Connections/lingerDivisor; int64(open)-srv.lingering.Load() > int64(maxConnections) && !loop.evict() {
+	if maxConnections := srv.options.Limits.MaxConnections -
+		srv.options.Limits.MaxConnections/lingerDivisor; int64(open)-srv.lingering.Load() > int64(maxConnections) && !loop.evict() {
 		srv.terminated.Add(1)
 		_, _ = socket.Send([]byte("-ERR max number of clients reached\r\n")) // best effort
 		// No lingering close: there is no descriptor to spare for one.
@@ -232,7 +232,7 @@
 	if srv.options.Handler != nil {
 		conn.client = &anonymousClient
 	}
-	conn.usage.Since = nowS()
+	conn.usage.OpenedAtS = nowS()
 	loop.conns[conn] = struct{}{}
 	socket.SetContext(conn)
 	if srv.rejectingNew.Load() && srv.options.Handler == nil {
@@ -285,7 +285,7 @@
 // sweepPeriodically checks all connections at least once a second, and closes those that use resources without making progress.
 func (srv *Server) sweepPeriodically() {
 	defer srv.sweeper.Done()
-	tick := time.NewTicker(min(time.Second, max(srv.options.Limits.Partial/8, 10*time.Millisecond)))
+	tick := time.NewTicker(min(time.Second, max(srv.options.Limits.PartialTimeout/8, 10*time.Millisecond)))
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/front/wire_test.go
+++ b/internal/front/wire_test.go
@@ -119,7 +119,7 @@
 // Arguments up to the size limit arrive complete however they are split, with commands before and after them.
 func TestLargeArguments(t *testing.T) {
 	const maxBytes = 512 << 10
-	_, fake, addr := startServer(t, func(limits *config.Front) { limits.Bulk = maxBytes; limits.Output = 4 << 20 })
+	_, fake, addr := startServer(t, func(limits *config.FrontLimits) { limits.MaxArgumentBytes = maxBytes; limits.MaxUnreadBytes = 4 << 20 })
 	for _, size := range []int{0, 1, 10_000, 65_536, 100_000, 400_000, maxBytes - 1, maxBytes} {
 		client := connect(t, addr, true)
 		arg := strings.Repeat("x", size/2) + strings.Repeat("\n", size-size/2)
@@ -148,7 +148,7 @@
 
 // Whatever the commands and wherever they are split, the replies are the same as when they are sent at once.
 func TestArbitrarySplits(t *testing.T) {
-	_, _, addr := startServer(t, func(limits *config.Front) { limits.Pipeline = 7 })
+	_, _, addr := startServer(t, func(limits *config.FrontLimits) { limits.MaxPipelined = 7 })
 	rapid.Check(t, func(t *rapid.T) {
 		words := rapid.SliceOfN(rapid.SampledFrom([]string{"PING", "ECHO", "JOB.STATUS", "SIGN.SUBMIT", "NOPE", "", "x y", "\r\n", "$1",
 			strings.Repeat("long", 900)}), 1, 4)
