--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -17,122 +17,126 @@
 	"cometpond/policy"
 )
 
-// Sink takes messages of other instances.
+// Sink receives the messages of other instances.
 type Sink interface {
+	// Heard takes an accepted message and the number of the instance that sent it.
 	Heard(from int, data []byte)
 }
 
 // Counts are totals since the start.
 type Counts struct {
-	Sent, Unsent, Heard              uint64 // unsent: the queue was full, or the system would not send
-	Foreign, Replayed, Old, WrongWay uint64
+	Sent, Unsent, Heard              uint64 // unsent: too long, unknown receiver, full queue, or failed to send
+	Foreign, Replayed, Old, WrongWay uint64 // received datagrams that were dropped, see ErrForeign and the other errors
 }
 
-// mostUnsent bounds the datagrams that wait to be sent; one more is lost, as the network may lose it.
+// sendQueueSize limits the datagrams that wait to be sent. A further one is dropped; the sender must expect losses anyway,
+// because the network may lose datagrams.
 const mostUnsent = 1 << 12
 
-// Link is this instance's socket to the others.
+// Transport exchanges messages with the other instances over a UDP socket.
 type Link struct {
 	conn  *net.UDPConn
 	me    int
-	addrs []*net.UDPAddr
+	addrs []*net.UDPAddr // by instance
 	sink  Sink
 	log   zerolog.Logger
 	out   chan outgoing
-	all   *net.UDPAddr // reaches all others with one datagram, nil: there is no such address
-	mu    sync.Mutex   // covers seal: datagrams are sealed and opened on goroutines of their own
+	all   *net.UDPAddr // broadcast address that reaches all other instances, nil for none
+	mu    sync.Mutex   // guards envelope: sending and receiving run on separate goroutines
 	seal  envelope
 
 	sent, unsent, heard, foreign, replayed, old, wrongWay atomic.Uint64
 }
 
-// envelope is what a message travels in.
+// envelope is the format of datagrams.
 type envelope interface {
-	// seal returns the datagram that carries a message; nowNS is the wall clock in nanoseconds.
+	// seal returns the datagram that carries a message, nil if the message can't be sent; nowNS is the wall clock in
+	// nanoseconds.
 	seal(to int, message []byte, nowNS int64) []byte
 	// open returns the sender and the message of a datagram.
-	open(b []byte, source netip.AddrPort, nowNS int64) (from int, message []byte, err error)
+	open(datagram []byte, source netip.AddrPort, nowNS int64) (from int, message []byte, err error)
 }
 
+// outgoing is a message in the send queue.
 type outgoing struct {
 	to   int
 	data []byte
 }
 
-// Open binds this instance's address.
-func Open(c *config.Config, sink Sink, log zerolog.Logger) (*Link, error) {
-	l := &Link{me: c.Me, sink: sink, log: log, out: make(chan outgoing, mostUnsent)}
-	for _, i := range c.Instances {
-		a, err := net.ResolveUDPAddr("udp", i.Peer)
+// OpenSealed binds the address of this instance for messages that are encrypted and authenticated.
+func Open(cfg *config.Config, sink Sink, log zerolog.Logger) (*Link, error) {
+	transport := &Link{me: cfg.Me, sink: sink, log: log, out: make(chan outgoing, mostUnsent)}
+	for _, instance := range cfg.Instances {
+		addr, err := net.ResolveUDPAddr("udp", instance.Peer)
 		if err != nil {
-			return nil, fmt.Errorf("instance %d: %w", i.Number, err)
+			return nil, fmt.Errorf("instance %d: %w", instance.Number, err)
 		}
-		l.addrs = append(l.addrs, a)
+		transport.addrs = append(transport.addrs, addr)
 	}
 	var err error
-	if l.seal, err = newSealer(c.PeerKey, c.Me, len(c.Instances), uint64(time.Now().UnixNano())); err != nil {
+	if transport.seal, err = newSealer(cfg.PeerKey, cfg.Me, len(cfg.Instances), uint64(time.Now().UnixNano())); err != nil {
 		return nil, err
 	}
-	if err = l.listen(l.addrs[c.Me]); err != nil {
+	if err = transport.listen(transport.addrs[cfg.Me]); err != nil {
 		return nil, err
 	}
-	return l, nil
+	return transport, nil
 }
 
-// OpenPlain binds listen for messages that are not sealed, on a network where nobody else can send: a datagram is
-// believed if it comes from the address of another instance. Peers holds an address for each instance, me's own
-// included, and all one that reaches every other, "" for none.
-func OpenPlain(listen string, peers []string, all string, me int, sink Sink, log zerolog.Logger) (*Link, error) {
-	l := &Link{me: me, sink: sink, log: log, out: make(chan outgoing, mostUnsent)}
-	p := plain{me: me, from: map[netip.AddrPort]int{}}
-	for i, s := range peers {
-		a, err := net.ResolveUDPAddr("udp", s)
+// OpenPlain binds the address listen for messages that are not sealed. It is for a network on which nobody else can send: a
+// datagram is accepted if it comes from the address of another instance. Peers has the address of each instance, including
+// this one; broadcast is an address that reaches all others, "" for none.
+func OpenPlain(listen string, peers []string, broadcast string, me int, sink Sink, log zerolog.Logger) (*Link, error) {
+	transport := &Link{me: me, sink: sink, log: log, out: make(chan outgoing, mostUnsent)}
+	format := plain{me: me, from: map[netip.AddrPort]int{}}
+	for i, peer := range peers {
+		addr, err := net.ResolveUDPAddr("udp", peer)
 		if err != nil {
 			return nil, fmt.Errorf("peer %d: %w", i, err)
 		}
-		l.addrs = append(l.addrs, a)
-		p.from[key(a.AddrPort())] = i
+		transport.addrs = append(transport.addrs, addr)
+		format.from[key(addr.AddrPort())] = i
 	}
-	if all != "" {
-		a, err := net.ResolveUDPAddr("udp", all)
+	if broadcast != "" {
+		addr, err := net.ResolveUDPAddr("udp", broadcast)
 		if err != nil {
-			return nil, fmt.Errorf("address of all peers: %w", err)
+			return nil, fmt.Errorf("broadcast address of the peers: %w", err)
 		}
-		l.all = a
+		transport.all = addr
 	}
-	at, err := net.ResolveUDPAddr("udp", listen)
+	listenAddr, err := net.ResolveUDPAddr("udp", listen)
 	if err != nil {
-		return nil, fmt.Errorf("address for other instances: %w", err)
+		return nil, fmt.Errorf("listen address for peers: %w", err)
 	}
-	if err = l.listen(at); err != nil {
+	if err = transport.listen(listenAddr); err != nil {
 		return nil, err
 	}
-	l.seal = p
-	return l, nil
+	transport.seal = format
+	return transport, nil
 }
 
-// Times of tries after errors of the system.
+// Timing of retries after system errors: how long binding the address is retried, and the delay after a failed read.
 const (
 	listenFor = 2 * time.Second
 	readPause = time.Millisecond
 )
 
-// listen binds the socket. What is wanting for a moment is waited for, and so is an address that a process on its way out
-// still holds.
-func (l *Link) listen(at *net.UDPAddr) error {
+// listen binds the socket. It retries if the system is short of a resource, and if the address is still in use by a process
+// that is exiting.
+func (l *Link) listen(addr *net.UDPAddr) error {
 	ctx, cancel := context.WithTimeout(context.Background(), listenFor)
 	defer cancel()
 	err := syserr.Retry(ctx, syserr.Busy, func() (err error) {
-		l.conn, err = net.ListenUDP("udp", at)
+		l.conn, err = net.ListenUDP("udp", addr)
 		return err
 	})
 	if err != nil {
-		return fmt.Errorf("socket for other instances: %w", err)
+		return fmt.Errorf("could not open the socket for peers: %w", err)
 	}
 	return nil
 }
 
-// Tell sends a message to one instance, or to all others with policy.Broadcast; it never blocks.
+// Tell queues a message for one instance, or for all others with policy.Broadcast. It never blocks; the message may be lost.
 func (l *Link) Tell(instance int, data []byte) {
 	if instance == policy.Broadcast && l.all == nil {
 		for i := range l.addrs {
@@ -153,7 +157,7 @@
 	}
 }
 
-// Run sends and receives until ctx is over, then closes the socket.
+// Run sends and receives messages until ctx is done, then closes the socket.
 func (l *Link) Run(ctx context.Context) {
 	var reader sync.WaitGroup
 	reader.Add(1)
@@ -163,36 +167,37 @@
 	}()
 	for {
 		select {
-		case o := <-l.out:
+		case message := <-l.out:
 			l.mu.Lock()
-			b := l.seal.seal(o.to, o.data, time.Now().UnixNano())
+			datagram := l.seal.seal(message.to, message.data, time.Now().UnixNano())
 			l.mu.Unlock()
-			to := l.all
-			if o.to != policy.Broadcast {
-				to = l.addrs[o.to]
+			addr := l.all
+			if message.to != policy.Broadcast {
+				addr = l.addrs[message.to]
 			}
-			if b == nil {
+			if datagram == nil {
 				l.unsent.Add(1)
-			} else if _, err := l.conn.WriteToUDP(b, to); err != nil {
-				l.unsent.Add(1) // as lost as any: the module tells again
+			} else if _, err := l.conn.WriteToUDP(datagram, addr); err != nil {
+				l.unsent.Add(1) // not retried: like after any loss, the policy module sends its state again
 			} else {
 				l.sent.Add(1)
 			}
 		case <-ctx.Done():
-			l.conn.Close() // ends the reader
+			l.conn.Close() // ends receive
 			reader.Wait()
 			return
 		}
 	}
 }
 
+// receive passes the messages of accepted datagrams to the sink until the socket is closed.
 func (l *Link) read() {
 	buf := make([]byte, maxPacket+1)
 	for {
 		n, source, err := l.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
-		} else if err != nil { // an ICMP error of an earlier send, or the system is short of something
+		} else if err != nil { // an ICMP error in response to an earlier send, or the system is short of a resource
 			time.Sleep(readPause)
 			continue
 		}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// heard keeps the messages of a link.
+// heard records the messages that a transport receives, each after the digit of its sender.
 type heard struct {
 	mu   sync.Mutex
 	list []string
@@ -35,119 +35,119 @@
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !done(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it did not come about in 20 s")
+			t.Fatal("condition not met within 20 s")
 		}
 	}
 }
 
-// Two links talk; what a stranger sends, and what a wiretapper sends again, is dropped and counted.
-func TestLink(t *testing.T) {
-	tap, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}) // stands where instance 1 is for 0
+// One transport sends to another through an eavesdropper. Foreign, altered and replayed datagrams are dropped and counted.
+func TestSealedTransport(t *testing.T) {
+	tap, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}) // the address of instance 1, as instance 0 knows it
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer tap.Close()
 	key := bytes.Repeat([]byte{7}, 32)
 	open := func(me int, addrs ...string) (*Link, *heard) {
-		c := &config.Config{Me: me, PeerKey: key}
-		for i, a := range addrs {
-			c.Instances = append(c.Instances, config.Instance{Number: i, Peer: a})
+		cfg := &config.Config{Me: me, PeerKey: key}
+		for i, addr := range addrs {
+			cfg.Instances = append(cfg.Instances, config.Instance{Number: i, Peer: addr})
 		}
-		h := &heard{}
-		l, err := Open(c, h, zerolog.Nop())
+		messages := &heard{}
+		transport, err := Open(cfg, messages, zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		var work sync.WaitGroup
 		work.Add(1)
-		go func() { defer work.Done(); l.Run(ctx) }()
+		go func() { defer work.Done(); transport.Run(ctx) }()
 		t.Cleanup(func() { cancel(); work.Wait() })
-		return l, h
+		return transport, messages
 	}
-	a, _ := open(0, "127.0.0.1:0", tap.LocalAddr().String())
-	b, got := open(1, "127.0.0.1:1", "127.0.0.1:0")
-	to := b.conn.LocalAddr().(*net.UDPAddr)
-	a.Tell(1, []byte("hello"))
-	a.Tell(7, []byte("nobody"))
-	a.Tell(1, make([]byte, MaxMessage+1))
+	sender, _ := open(0, "127.0.0.1:0", tap.LocalAddr().String())
+	receiver, got := open(1, "127.0.0.1:1", "127.0.0.1:0")
+	to := receiver.conn.LocalAddr().(*net.UDPAddr)
+	sender.Tell(1, []byte("hello"))
+	sender.Tell(7, []byte("nobody"))
+	sender.Tell(1, make([]byte, MaxMessage+1))
 	buf := make([]byte, maxPacket)
 	_ = tap.SetReadDeadline(time.Now().Add(20 * time.Second))
 	n, _, err := tap.ReadFromUDP(buf)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, d := range [][]byte{buf[:n], buf[:n], []byte("stranger"), append([]byte{buf[0], buf[1] ^ 1}, buf[2:n]...)} {
-		if _, err := tap.WriteToUDP(d, to); err != nil {
+	for _, datagram := range [][]byte{buf[:n], buf[:n], []byte("stranger"), append([]byte{buf[0], buf[1] ^ 1}, buf[2:n]...)} {
+		if _, err := tap.WriteToUDP(datagram, to); err != nil {
 			t.Fatal(err)
 		}
 	}
-	wait(t, func() bool { c := b.Counts(); return c.Heard+c.Replayed+c.Foreign == 4 })
-	if c := b.Counts(); got.count() != 1 || got.list[0] != "0hello" || c.Replayed != 1 || c.Foreign != 2 {
-		t.Errorf("heard %v, %+v", got.list, c)
+	wait(t, func() bool { c := receiver.Counts(); return c.Heard+c.Replayed+c.Foreign == 4 })
+	if c := receiver.Counts(); got.count() != 1 || got.list[0] != "0hello" || c.Replayed != 1 || c.Foreign != 2 {
+		t.Errorf("received %v, counts %+v", got.list, c)
 	}
-	if c := a.Counts(); c.Unsent != 2 {
-		t.Errorf("%d unsent, want the two that can't be sent", c.Unsent)
+	if c := sender.Counts(); c.Unsent != 2 {
+		t.Errorf("%d unsent, want 2: an unknown receiver and a message that is too long", c.Unsent)
 	}
 }
 
-// Messages that are not sealed are believed from the addresses of the others alone, up to their size.
-func TestPlain(t *testing.T) {
+// Plain messages are accepted only from the addresses of the other instances and up to the maximum size.
+func TestPlainTransport(t *testing.T) {
 	socket := func() *net.UDPConn {
-		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+		conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
-		return c
+		t.Cleanup(func() { conn.Close() })
+		return conn
 	}
-	other, third, all, stranger, mine := socket(), socket(), socket(), socket(), socket()
+	other, third, broadcast, stranger, mine := socket(), socket(), socket(), socket(), socket()
 	me := mine.LocalAddr().String()
 	mine.Close()
-	h := &heard{}
+	got := &heard{}
 	peers := []string{other.LocalAddr().String(), me, third.LocalAddr().String()}
-	l, err := OpenPlain(me, peers, all.LocalAddr().String(), 1, h, zerolog.Nop())
+	transport, err := OpenPlain(me, peers, broadcast.LocalAddr().String(), 1, got, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var work sync.WaitGroup
 	work.Add(1)
-	go func() { defer work.Done(); l.Run(ctx) }()
+	go func() { defer work.Done(); transport.Run(ctx) }()
 	defer func() { cancel(); work.Wait() }()
-	to := l.conn.LocalAddr().(*net.UDPAddr)
-	for _, m := range []struct {
+	to := transport.conn.LocalAddr().(*net.UDPAddr)
+	for _, message := range []struct {
 		from *net.UDPConn
 		size int
 	}{{stranger, 5}, {other, MaxPlain + 1}, {other, MaxPlain}, {third, 0}, {third, 1}} {
-		if _, err := m.from.WriteToUDP(bytes.Repeat([]byte{'m'}, m.size), to); err != nil {
+		if _, err := message.from.WriteToUDP(bytes.Repeat([]byte{'m'}, message.size), to); err != nil {
 			t.Fatal(err)
 		}
 	}
-	l.Tell(1, []byte("echo")) // to itself
-	wait(t, func() bool { c := l.Counts(); return c.Heard == 3 && c.Foreign == 2 && c.WrongWay == 1 })
-	h.mu.Lock()
-	if len(h.list) != 3 || h.list[0] != "0"+string(bytes.Repeat([]byte{'m'}, MaxPlain)) || h.list[1] != "2" || h.list[2] != "2m" {
-		t.Errorf("heard %d messages: %.20q", len(h.list), h.list)
+	transport.Tell(1, []byte("echo")) // to itself
+	wait(t, func() bool { c := transport.Counts(); return c.Heard == 3 && c.Foreign == 2 && c.WrongWay == 1 })
+	got.mu.Lock()
+	if len(got.list) != 3 || got.list[0] != "0"+string(bytes.Repeat([]byte{'m'}, MaxPlain)) || got.list[1] != "2" || got.list[2] != "2m" {
+		t.Errorf("received %d messages: %.20q", len(got.list), got.list)
 	}
-	h.mu.Unlock()
-	expect := func(c *net.UDPConn, want string) {
+	got.mu.Unlock()
+	expect := func(conn *net.UDPConn, want string) {
 		t.Helper()
 		buf := make([]byte, 1000)
-		_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
-		if n, from, err := c.ReadFromUDP(buf); err != nil || string(buf[:n]) != want || from.String() != me {
+		_ = conn.SetReadDeadline(time.Now().Add(20 * time.Second))
+		if n, from, err := conn.ReadFromUDP(buf); err != nil || string(buf[:n]) != want || from.String() != me {
 			t.Errorf("got %q from %v, %v, want %q", buf[:n], from, err, want)
 		}
 	}
-	l.Tell(2, []byte("two"))
+	transport.Tell(2, []byte("two"))
 	expect(third, "two")
-	l.Tell(policy.Broadcast, []byte("all"))
-	expect(all, "all")
-	l.Tell(0, bytes.Repeat([]byte{'m'}, MaxPlain+1))
-	wait(t, func() bool { return l.Counts().Unsent == 1 })
+	transport.Tell(policy.Broadcast, []byte("all"))
+	expect(broadcast, "all")
+	transport.Tell(0, bytes.Repeat([]byte{'m'}, MaxPlain+1))
+	wait(t, func() bool { return transport.Counts().Unsent == 1 })
 	for _, bad := range [][2]string{{"x", ""}, {me, "x"}} {
-		if _, err := OpenPlain(bad[0], peers, bad[1], 1, h, zerolog.Nop()); err == nil {
-			t.Errorf("%q is taken", bad)
+		if _, err := OpenPlain(bad[0], peers, bad[1], 1, got, zerolog.Nop()); err == nil {
+			t.Errorf("the addresses %q are accepted", bad)
 		}
 	}
 }
--- a/internal/peer/plain.go
+++ b/internal/peer/plain.go
@@ -5,19 +5,20 @@
 	"net/netip"
 )
 
-// MaxPlain is the most bytes of a message that is not sealed.
+// MaxPlainMessage is the maximum size of a message that is not sealed, in bytes.
 const MaxPlain = 256
 
-// plain is the envelope of a network on which addresses can be trusted: the message itself.
+// plainEnvelope is the format for a network on which source addresses can be trusted: a datagram is the message itself.
 type plain struct {
 	me   int
-	from map[netip.AddrPort]int
+	from map[netip.AddrPort]int // instances by address
 }
 
-// key is an address as a socket names it, of four bytes where it has four.
+// unmap returns the IPv4 form of an IPv4-mapped IPv6 address, as which a socket may report a source, and other addresses
+// as they are.
 func key(a netip.AddrPort) netip.AddrPort { return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()) }
 
-// seal returns the message, nil if it is too long to be sent.
+// seal returns the message, nil if it is too long.
 func (p plain) seal(_ int, message []byte, _ int64) []byte {
 	if len(message) > MaxPlain {
 		return nil
@@ -25,14 +26,14 @@
 	return message
 }
 
-// open believes what comes from the address of another instance.
-func (p plain) open(b []byte, source netip.AddrPort, _ int64) (from int, message []byte, err error) {
+// open accepts datagrams from the address of another instance.
+func (p plain) open(datagram []byte, source netip.AddrPort, _ int64) (from int, message []byte, err error) {
 	from, known := p.from[key(source)]
 	switch {
-	case !known || len(b) > MaxPlain:
+	case !known || len(datagram) > MaxPlain:
 		return 0, nil, ErrForeign
 	case from == p.me:
 		return 0, nil, ErrWrongWay
 	}
-	return from, bytes.Clone(b), nil
+	return from, bytes.Clone(datagram), nil
 }
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -1,5 +1,5 @@
-// Package terms reads the settings object that the simulator hands to an instance, and that a real ingress finds in
-// its configuration: one translation for both.
+// Package terms translates the settings object of the platform into the settings of the policy module. The simulator
+// hands the object to each instance, and an ingress finds it in its configuration file; both use this translation.
 package terms
 
 import (
@@ -9,7 +9,8 @@
 	"cometpond/policy"
 )
 
-// object is the settings object as the wire words it; unknown keys are skipped.
+// wireSettings is the settings object in its JSON form. Unknown keys are ignored. The fields are named like the keys; Parse
+// maps them to the names that the rest of the code uses.
 type object struct {
 	Balancers  int    `json:"balancers"`
 	Me         int    `json:"me"`
@@ -75,57 +76,59 @@
 	TickS float64 `json:"tickS"`
 }
 
+// effects maps the values of the key effect.
 var effects = map[string]policy.Effect{"retryable": policy.Safe, "dedup": policy.Keyed, "fragile": policy.Unsafe}
 
+// keyScopes maps the values of the key keyScope.
 var scopes = map[string]policy.Scope{"": policy.ScopeAll, "all": policy.ScopeAll, "zone": policy.ScopeZone,
 	"cell": policy.ScopeCell}
 
-// Terms are the settings of an instance: those of the module, and what the network's side needs besides.
+// Settings are the settings of an instance: those of the policy module, and those of the connections.
 type Terms struct {
 	policy.Settings
-	ConnIdleS    float64 // a server closes a connection that stood idle for so long, seconds; 0: never
-	DialTimeoutS float64 // until a connection stands, seconds
+	ConnIdleS    float64 // a server closes a connection that was idle for so long, in seconds; 0: never
+	DialTimeoutS float64 // timeout for opening a connection, in seconds
 	Multiplex    int     // attempts that one connection carries at once
-	MostHeld     int     // requests that an instance may have open, 0: not bounded
+	MostHeld     int     // maximum number of open requests of an instance, 0: unlimited
 }
 
-// Read translates the settings. It tells which part has the wrong form; whether the module's part makes sense is for
-// policy.New to say.
+// Parse translates the settings object. Its error names a part of the wrong type or with an unknown value. The values of the
+// module's settings are checked by policy.New.
 func Read(text []byte) (Terms, error) {
-	var w object
-	if err := json.Unmarshal(text, &w); err != nil {
+	var wire object
+	if err := json.Unmarshal(text, &wire); err != nil {
 		return Terms{}, err
 	}
-	t := Terms{ConnIdleS: w.Limits.ConnIdleS, DialTimeoutS: w.Limits.DialTimeoutS, Multiplex: w.Limits.Multiplex,
-		MostHeld: w.Limits.MostHeld}
-	t.Settings = policy.Settings{
-		Me: w.Me, Gateways: w.Balancers, Zone: w.MyZone,
-		MaxUnits: w.FamilyInfo.MaxUnits, TrueUp: w.FamilyInfo.TruedUp, PeerIntake: w.FamilyInfo.PeerIntake,
-		Peers: w.Limits.PeerMessages, Probes: w.Limits.Probes, Cancel: w.Limits.Cancel,
-		Parallel: w.Limits.ParallelTries, RetryAfter: w.Limits.RetryAfter,
-		MaxAttempts: w.Limits.MaxAttempts, MaxRetryAfterS: w.Limits.MaxRetryAfterS,
-		ReportByProbe: w.Feedback.How == "probe", ReportByAnswer: w.Feedback.How == "answers",
-		AnswerSlackS: w.Rules.AnswerSlackS, ColdFrom: w.Rules.ColdFrom, ColdS: w.Rules.ColdS,
-		FallMultiple: w.Rules.FallMultiple, FallS: w.Rules.FallS,
-		TickS: w.TickS, CrossZonePrice: w.Prices.CrossZone, WorstPlanWeight: w.ScoreParts.WorstTenant,
+	settings := Terms{ConnIdleS: wire.Limits.ConnIdleS, DialTimeoutS: wire.Limits.DialTimeoutS, Multiplex: wire.Limits.Multiplex,
+		MostHeld: wire.Limits.MostHeld}
+	settings.Settings = policy.Settings{
+		Me: wire.Me, Gateways: wire.Balancers, Zone: wire.MyZone,
+		MaxUnits: wire.FamilyInfo.MaxUnits, TrueUp: wire.FamilyInfo.TruedUp, PeerIntake: wire.FamilyInfo.PeerIntake,
+		Peers: wire.Limits.PeerMessages, Probes: wire.Limits.Probes, Cancel: wire.Limits.Cancel,
+		Parallel: wire.Limits.ParallelTries, RetryAfter: wire.Limits.RetryAfter,
+		MaxAttempts: wire.Limits.MaxAttempts, MaxRetryAfterS: wire.Limits.MaxRetryAfterS,
+		ReportByProbe: wire.Feedback.How == "probe", ReportByAnswer: wire.Feedback.How == "answers",
+		AnswerSlackS: wire.Rules.AnswerSlackS, ColdFrom: wire.Rules.ColdFrom, ColdS: wire.Rules.ColdS,
+		FallMultiple: wire.Rules.FallMultiple, FallS: wire.Rules.FallS,
+		TickS: wire.TickS, CrossZonePrice: wire.Prices.CrossZone, WorstPlanWeight: wire.ScoreParts.WorstTenant,
 	}
-	for _, p := range w.Profiles {
-		effect, ok := effects[p.Effect]
+	for _, profile := range wire.Profiles {
+		effect, ok := effects[profile.Effect]
 		if !ok {
-			return t, fmt.Errorf("class %s: unknown effect %q", p.Name, p.Effect)
+			return settings, fmt.Errorf("class %s: unknown effect %q", profile.Name, profile.Effect)
 		}
-		scope, ok := scopes[p.KeyScope]
+		scope, ok := scopes[profile.KeyScope]
 		if !ok {
-			return t, fmt.Errorf("class %s: unknown keyScope %q", p.Name, p.KeyScope)
+			return settings, fmt.Errorf("class %s: unknown keyScope %q", profile.Name, profile.KeyScope)
 		}
-		t.Classes = append(t.Classes, policy.Class{Name: p.Name, AimS: p.AimS, AimStretch: p.AimStretch,
-			DeadlineS: p.DeadlineS, Worth: p.Worth, LateWorth: p.LateWorth, Effect: effect, KeyScope: scope,
-			KeyTTLS: p.KeyTTLS, Stream: p.Stream})
+		settings.Classes = append(settings.Classes, policy.Class{Name: profile.Name, AimS: profile.AimS, AimStretch: profile.AimStretch,
+			DeadlineS: profile.DeadlineS, Worth: profile.Worth, LateWorth: profile.LateWorth, Effect: effect, KeyScope: scope,
+			KeyTTLS: profile.KeyTTLS, Stream: profile.Stream})
 	}
-	for _, p := range w.Packages {
-		t.Plans = append(t.Plans, policy.Plan{Name: p.Name, Rate: p.UnitsPerS, Burst: p.PeakUnits,
-			Parallel: p.Parallel, Price: p.Pays, ExtraWorth: p.ExtraWorth, ExcessCost: p.ExcessCost,
-			CeilingRate: p.HardRate, CeilingBurst: p.CapDepth, CeilingSlack: p.CeilingSlack})
+	for _, plan := range wire.Packages {
+		settings.Plans = append(settings.Plans, policy.Plan{Name: plan.Name, Rate: plan.UnitsPerS, Burst: plan.PeakUnits,
+			Parallel: plan.Parallel, Price: plan.Pays, ExtraWorth: plan.ExtraWorth, ExcessCost: plan.ExcessCost,
+			CeilingRate: plan.HardRate, CeilingBurst: plan.CapDepth, CeilingSlack: plan.CeilingSlack})
 	}
-	return t, nil
+	return settings, nil
 }
--- a/internal/terms/terms_test.go
+++ b/internal/terms/terms_test.go
@@ -8,27 +8,30 @@
 	"cometpond/policy"
 )
 
-func TestRead(t *testing.T) {
-	good := standin.PlatformSettings(1, 3)
-	s, err := Read([]byte(good))
+func TestParse(t *testing.T) {
+	object := standin.PlatformSettings(1, 3)
+	settings, err := Read([]byte(object))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Me != 1 || s.Gateways != 3 || s.Zone != "room-a" || s.MaxUnits != 4 || s.PeerIntake != 40 || !s.Peers || !s.Probes || !s.Cancel || !s.Parallel ||
-		!s.RetryAfter || s.MaxAttempts != 3 || s.MaxRetryAfterS != 0.5 || !s.ReportByProbe || s.ReportByAnswer || s.CrossZonePrice != 0.02 ||
-		s.AnswerSlackS != 0.008 || s.FallS != 1.5 || s.WorstPlanWeight != 0.15 {
-		t.Errorf("%+v", s.Settings)
+	if settings.Me != 1 || settings.Gateways != 3 || settings.Zone != "room-a" || settings.MaxUnits != 4 || settings.PeerIntake != 40 ||
+		!settings.Peers || !settings.Probes || !settings.Cancel || !settings.Parallel ||
+		!settings.RetryAfter || settings.MaxAttempts != 3 || settings.MaxRetryAfterS != 0.5 || !settings.ReportByProbe ||
+		settings.ReportByAnswer || settings.CrossZonePrice != 0.02 ||
+		settings.AnswerSlackS != 0.008 || settings.FallS != 1.5 || settings.WorstPlanWeight != 0.15 {
+		t.Errorf("module settings: %+v", settings.Settings)
 	}
-	if s.ConnIdleS != 15 || s.DialTimeoutS != 0.25 || s.Multiplex != 100 || s.MostHeld != 20000 {
-		t.Errorf("%+v", s)
+	if settings.ConnIdleS != 15 || settings.DialTimeoutS != 0.25 || settings.Multiplex != 100 || settings.MostHeld != 20000 {
+		t.Errorf("connection settings: %+v", settings)
 	}
 	want := policy.Class{Name: "order", AimS: 3, DeadlineS: 6, Worth: 3, Effect: policy.Keyed, KeyScope: policy.ScopeZone, KeyTTLS: 7.5}
-	if len(s.Classes) != 3 || s.Classes[1] != want || s.Classes[2].Effect != policy.Unsafe || len(s.Plans) != 2 || s.Plans[1].Burst != 4 {
-		t.Errorf("%+v, %+v", s.Classes, s.Plans)
+	if len(settings.Classes) != 3 || settings.Classes[1] != want || settings.Classes[2].Effect != policy.Unsafe || len(settings.Plans) != 2 ||
+		settings.Plans[1].Burst != 4 {
+		t.Errorf("classes %+v, plans %+v", settings.Classes, settings.Plans)
 	}
-	for old, with := range map[string]string{`"dedup"`: `"once"`, `"zone"`: `"house"`, `"balancers":3`: `"balancers":"3"`, `{"balancers"`: `["balancers"`} {
-		if _, err := Read([]byte(strings.Replace(good, old, with, 1))); err == nil {
-			t.Errorf("%s is taken", with)
+	for good, bad := range map[string]string{`"dedup"`: `"once"`, `"zone"`: `"house"`, `"balancers":3`: `"balancers":"3"`, `{"balancers"`: `["balancers"`} {
+		if _, err := Read([]byte(strings.Replace(object, good, bad, 1))); err == nil {
+			t.Errorf("%s is accepted", bad)
 		}
 	}
 }
