--- a/internal/crowd/crowd.go
+++ b/internal/crowd/crowd.go
@@ -16,62 +16,62 @@
 
 // DefaultLimits returns the limits for a maximum number of connections, at least 1. A connection on which a client has sent
 // a command may be closed after it was idle for minIdleTimeoutS, and not before.
-func Standard(maxConnections int, minIdleTimeoutS float64) Limits {
+func DefaultLimits(maxConnections int, minIdleTimeoutS float64) Limits {
 	return Limits{Most: maxConnections, SilentS: minIdleTimeoutS, LeastS: minIdleTimeoutS, IdleS: 6 * minIdleTimeoutS}
 }
 
 // Connection is the usage of a client connection without an open request. Times are in seconds on one clock.
-type Guest struct {
-	Asked int     // commands received
-	Begun bool    // part of the first command was received
-	Since float64 // when it was opened
-	LastS float64 // when a command was last received or an answer sent, 0: never
+type Connection struct {
+	Commands       int     // commands received
+	CommandStarted bool    // part of the first command was received
+	OpenedAtS      float64 // when it was opened
+	LastUsedAtS    float64 // when a command was last received or an answer sent, 0: never
 }
 
 // relaxedShare is the share of the maximum number of connections up to which the idle timeout is not shortened.
 const roomy = 0.5
 
 // ShouldClose reports whether an idle connection is to be closed now, given the number of open connections.
-func (l Limits) Leaves(conn Guest, now float64, open int) bool {
+func (l Limits) ShouldClose(conn Connection, now float64, open int) bool {
 	if l.Most <= 0 {
 		return false
 	}
-	if conn.Asked == 0 {
-		return now-conn.Since > l.SilentS
+	if conn.Commands == 0 {
+		return now-conn.OpenedAtS > l.SilentS
 	}
 	pressure := (float64(open)/float64(l.Most) - roomy) / (1 - roomy)
 	pressure = min(max(pressure, 0), 1)
-	return now-conn.LastS > l.IdleS+pressure*(l.LeastS-l.IdleS)
+	return now-conn.LastUsedAtS > l.IdleS+pressure*(l.LeastS-l.IdleS)
 }
 
 // ShouldCloseOnShutdown reports whether an idle connection is to be closed now while this instance shuts down. A connection
 // that has sent no command may be new, with its first command on the way, and is kept for newConnectionS.
-func (l Limits) Retires(conn Guest, now float64, _ int) bool {
-	return conn.Asked > 0 || now-conn.Since > newS
+func (l Limits) ShouldCloseOnShutdown(conn Connection, now float64, _ int) bool {
+	return conn.Commands > 0 || now-conn.OpenedAtS > newS
 }
 
 // newConnectionS is how long the first command may take to arrive after the connection is opened, in seconds.
 const newS = 0.3
 
 // evictionRank is the primary sort key of eviction: connections of a lower rank are evicted first.
-func (g Guest) rank() int {
-	if g.Asked == 0 && !g.Begun {
+func (g Connection) rank() int {
+	if g.Commands == 0 && !g.CommandStarted {
 		return 0
 	}
-	return 1 + min(g.Asked, 2)
+	return 1 + min(g.Commands, 2)
 }
 
 // EvictedBefore reports whether connection a is evicted before connection b when a new connection needs a descriptor. First
 // come connections that sent nothing, then those with an unfinished first command, then those with a single command, whose
 // clients may never send another. Within a rank the connection that is idle the longest comes first.
-func (l Limits) Before(a, b Guest) bool {
+func (l Limits) EvictedBefore(a, b Connection) bool {
 	if rankA, rankB := a.rank(), b.rank(); rankA != rankB {
 		return rankA < rankB
 	}
-	if a.Asked == 0 {
-		return a.Since < b.Since
+	if a.Commands == 0 {
+		return a.OpenedAtS < b.OpenedAtS
 	}
-	return a.LastS < b.LastS
+	return a.LastUsedAtS < b.LastUsedAtS
 }
 
 // Times for which a connection is not evicted even if the maximum is reached, in seconds.
@@ -84,16 +84,16 @@
 
 // Evictable reports whether a connection may be closed at once in favour of a new one. A client whose connection is evicted
 // between two requests can open another one, whereas a client whose connection is not accepted can't be served at all.
-func (l Limits) Evictable(conn Guest, now float64) bool {
+func (l Limits) Evictable(conn Connection, now float64) bool {
 	switch {
 	case l.Most <= 0:
 		return false
-	case conn.Asked == 0 && conn.Begun:
-		return now-conn.Since > wholeS
-	case conn.Asked == 0:
-		return now-conn.Since > firstS
-	case conn.Asked == 1:
-		return now-conn.LastS > onceS
+	case conn.Commands == 0 && conn.CommandStarted:
+		return now-conn.OpenedAtS > wholeS
+	case conn.Commands == 0:
+		return now-conn.OpenedAtS > firstS
+	case conn.Commands == 1:
+		return now-conn.LastUsedAtS > onceS
 	}
-	return now-conn.LastS > againS
+	return now-conn.LastUsedAtS > againS
 }
--- a/internal/edge/config.go
+++ b/internal/edge/config.go
@@ -27,7 +27,7 @@
 	Peers                   []string       // the address of each ingress of the tier, this one's included
 	PeersAll                string         // broadcast address that reaches all other ingresses, "" for none
 	Known                   endpoints.List // the servers known at the start; the zero value if the platform gave none
-	Terms                   terms.Terms
+	Terms                   terms.Settings
 	Trace                   bool // COMETPOND_EDGE_TRACE is set: log each request and the state of each server
 }
 
@@ -86,7 +86,7 @@
 		return nil, errors.New("settings is missing, want the settings object")
 	}
 	var err error
-	if cfg.Terms, err = terms.Read(wire.Settings); err != nil {
+	if cfg.Terms, err = terms.Parse(wire.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	for _, field := range []struct{ name, addr string }{{"listen", cfg.Listen}, {"discovery", cfg.Discovery}} {
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -32,7 +32,7 @@
 	loop   *core.Loop
 	stalls *core.Stalls
 	pool   *backend.Pool
-	peers  *peer.Link
+	peers  *peer.Transport
 	disc   *endpoints.Client
 	front  *front.Server
 
--- a/internal/edge/plan/budget.go
+++ b/internal/edge/plan/budget.go
@@ -68,7 +68,7 @@
 	if maxOpenRequests > 0 {
 		budget.Held = min(budget.Held, maxOpenRequests)
 	}
-	budget.Crowd = crowd.Standard(budget.Clients, partial.Seconds())
+	budget.Crowd = crowd.DefaultLimits(budget.Clients, partial.Seconds())
 	budget.Front = config.Front{Connections: budget.Clients, Bulk: maxValueBytes, Pipeline: 256, Output: 2 * maxValueBytes,
 		Input: memory / 16, Partial: partial}
 	return budget
@@ -90,7 +90,7 @@
 // ConnectionLimits returns the limits of the connections to one server, and the dial timeout in seconds. Answers come in
 // the order of the commands, so an abandoned attempt stays in flight until the attempt ahead of it on the same connection
 // is answered. Where two attempts of a request must not be in flight at once, each connection therefore carries only one.
-func Links(settings terms.Terms, budget Budget) (limits links.Limits, dialTimeoutS float64) {
+func Links(settings terms.Settings, budget Budget) (limits links.Limits, dialTimeoutS float64) {
 	limits = links.Limits{Connections: budget.Backends, Pipeline: 1, RestS: restS, IdleS: idleShare * settings.ConnIdleS}
 	if settings.Parallel {
 		limits.Pipeline = min(lineMost, max(1, settings.Multiplex))
--- a/internal/edge/plan/plan_test.go
+++ b/internal/edge/plan/plan_test.go
@@ -40,7 +40,7 @@
 
 func TestConnectionLimits(t *testing.T) {
 	budget := NewBudget(Machine{1, 64, 384}, 0, 64<<10)
-	settings := terms.Terms{ConnIdleS: 15, DialTimeoutS: 0.25, Multiplex: 100}
+	settings := terms.Settings{ConnIdleS: 15, DialTimeoutS: 0.25, Multiplex: 100}
 	limits, dialTimeoutS := Links(settings, budget)
 	if limits.Pipeline != 1 || limits.IdleS >= 15 || limits.IdleS < 5 || dialTimeoutS != 0.25 {
 		t.Errorf("no parallel attempts allowed: %+v, dial timeout %v s", limits, dialTimeoutS)
--- a/internal/front/closing.go
+++ b/internal/front/closing.go
@@ -73,9 +73,9 @@
 	for len(l.lingering) > 0 && l.lingering[0].lingerTo < seconds() {
 		l.hurry()
 	}
-	open, leaves := int(l.s.open.Load()), l.s.opt.Crowd.Leaves
+	open, leaves := int(l.s.open.Load()), l.s.opt.Crowd.ShouldClose
 	if l.s.retiring.Load() {
-		leaves = l.s.opt.Crowd.Retires
+		leaves = l.s.opt.Crowd.ShouldCloseOnShutdown
 	}
 	for k := range l.conns {
 		slow := !k.partial.IsZero() && now.Sub(k.partial) > most && !k.waits || k.client == nil && now.Sub(k.since) > most
@@ -104,9 +104,9 @@
 	var out *conn
 	now, crowd := seconds(), l.s.opt.Crowd
 	for k := range l.conns {
-		k.guest.Begun = len(k.in) > 0
-		if k.settled() && (!k.guest.Begun || k.guest.Asked == 0) && crowd.Evictable(k.guest, now) &&
-			(out == nil || crowd.Before(k.guest, out.guest)) {
+		k.guest.CommandStarted = len(k.in) > 0
+		if k.settled() && (!k.guest.CommandStarted || k.guest.Commands == 0) && crowd.Evictable(k.guest, now) &&
+			(out == nil || crowd.EvictedBefore(k.guest, out.guest)) {
 			out = k
 		}
 	}
@@ -114,7 +114,7 @@
 		return false
 	}
 	l.s.evicted.Add(1)
-	if l.act(out, l.finish(out, evictedForOther)); !out.closed && out.guest.Asked == 0 {
+	if l.act(out, l.finish(out, evictedForOther)); !out.closed && out.guest.Commands == 0 {
 		l.cut(out, evictedForOther) // nothing was sent there that a close could take back
 	}
 	return true
--- a/internal/front/commands_test.go
+++ b/internal/front/commands_test.go
@@ -32,7 +32,7 @@
 
 func openWorld(most int) (func(*config.Front), func(*Options)) {
 	return func(f *config.Front) { f.Connections, f.Partial = most, time.Minute },
-		func(o *Options) { o.Commands, o.Loops, o.Crowd = echo{}, 1, crowd.Standard(most, 60) }
+		func(o *Options) { o.Commands, o.Loops, o.Crowd = echo{}, 1, crowd.DefaultLimits(most, 60) }
 }
 
 func visitor(t *testing.T, addr string) *raw {
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -23,13 +23,13 @@
 	name    string         // as CLIENT SETNAME gave it
 	version int            // of RESP: 2 or 3
 	since   time.Time
-	guest   crowd.Guest // what is known of its use
-	in      []byte      // what has come in and is not used yet: the head of a command, or commands to be read later
-	need    int         // length of in before which another look is of no use
-	partial time.Time   // since when a command stands unfinished
-	readAt  float64     // when something last came in
-	old     float64     // when what is being read may have been sent, after a stall; 0: just now
-	oldNext float64     // the same of what came in last
+	guest   crowd.Connection // what is known of its use
+	in      []byte           // what has come in and is not used yet: the head of a command, or commands to be read later
+	need    int              // length of in before which another look is of no use
+	partial time.Time        // since when a command stands unfinished
+	readAt  float64          // when something last came in
+	old     float64          // when what is being read may have been sent, after a stall; 0: just now
+	oldNext float64          // the same of what came in last
 	args    [][]byte
 	queue   []*pending // commands whose answers have not been written, from head on
 	head    int
@@ -142,7 +142,7 @@
 		used += n
 		if len(args) > 0 {
 			s.commands.Add(1)
-			k.guest.Asked++
+			k.guest.Commands++
 			if s.opt.Commands != nil {
 				s.opt.Commands.Command(k, args)
 			} else {
@@ -155,7 +155,7 @@
 	}
 	clear(k.args)
 	if used > 0 {
-		k.guest.LastS = seconds()
+		k.guest.LastUsedAtS = seconds()
 		k.partial, k.old = time.Time{}, k.oldNext // the rest is of the last read
 	}
 	if k.need > 0 && k.partial.IsZero() {
--- a/internal/front/linger_test.go
+++ b/internal/front/linger_test.go
@@ -65,7 +65,7 @@
 	inLoop(t, srv, func(l *loop, c *conn) {
 		k.write(say)
 		lies(c)
-		c.guest.LastS = -1e9 // idle for years
+		c.guest.LastUsedAtS = -1e9 // idle for years
 		l.sweep()
 	})
 	if line, err := k.r.ReadString('\n'); line != "+said\r\n" {
@@ -81,7 +81,7 @@
 	k := visitor(t, addr)
 	k.says("*1\r\n$2\r\nGO\r\n", "+did GO\r\n")
 	inLoop(t, srv, func(l *loop, c *conn) {
-		c.guest.LastS = -1e9
+		c.guest.LastUsedAtS = -1e9
 		l.sweep()
 		k.write("*1\r\n$2\r\nGO\r\n")
 		lies(c)
--- a/internal/front/output.go
+++ b/internal/front/output.go
@@ -112,7 +112,7 @@
 func (k *conn) pump() eventloop.Action {
 	l := k.loop
 	if k.head < len(k.queue) && k.queue[k.head].done {
-		k.guest.LastS = seconds()
+		k.guest.LastUsedAtS = seconds()
 	}
 	for k.head < len(k.queue) && k.queue[k.head].done && !k.congested {
 		l.buf = k.append(l.buf, k.queue[k.head])
@@ -137,7 +137,7 @@
 	switch {
 	case k.quit && k.waiting() == 0 && len(k.out) == 0:
 		return l.finish(k, asked)
-	case l.s.retiring.Load() && k.guest.Asked > 0 && k.idle() && !k.c.Unread():
+	case l.s.retiring.Load() && k.guest.Commands > 0 && k.idle() && !k.c.Unread():
 		return l.finish(k, shuttingDown)
 	}
 	return eventloop.None
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -217,7 +217,7 @@
 	if s.opt.Commands != nil {
 		k.client = &anyone
 	}
-	k.guest.Since = seconds()
+	k.guest.OpenedAtS = seconds()
 	l.conns[k] = struct{}{}
 	c.SetContext(k)
 	if s.stopping.Load() && s.opt.Commands == nil {
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -49,7 +49,7 @@
 	loop   *core.Loop
 	stalls *core.Stalls
 	pool   *backend.Pool
-	peers  *peer.Link
+	peers  *peer.Transport
 	disc   *discovery.Client
 	front  *front.Server
 	rpc    *rpc.Server
@@ -100,7 +100,7 @@
 	i.run(func() { i.stalls.Run(parts) })
 	var told core.Peers
 	if len(cfg.Instances) > 1 {
-		if i.peers, err = peer.Open(cfg, i.loop, opt.Log.With().Str("part", "peer").Logger()); err != nil {
+		if i.peers, err = peer.OpenSealed(cfg, i.loop, opt.Log.With().Str("part", "peer").Logger()); err != nil {
 			return nil, err
 		}
 		told = i.peers
@@ -279,8 +279,8 @@
 	}
 	if i.peers != nil {
 		c := i.peers.Counts()
-		section("Peers", "messages_sent", c.Sent, "messages_unsent", c.Unsent, "messages_heard", c.Heard,
-			"messages_dropped", s.Dropped, "foreign", c.Foreign, "replayed", c.Replayed, "old", c.Old, "misdirected", c.WrongWay)
+		section("Peers", "messages_sent", c.Sent, "messages_unsent", c.Unsent, "messages_heard", c.Received,
+			"messages_dropped", s.Dropped, "foreign", c.Foreign, "replayed", c.Replayed, "old", c.Old, "misdirected", c.Misdirected)
 	}
 	return b.String()
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -25,8 +25,8 @@
 
 // Counts are totals since the start.
 type Counts struct {
-	Sent, Unsent, Heard              uint64 // unsent: too long, unknown receiver, full queue, or failed to send
-	Foreign, Replayed, Old, WrongWay uint64 // received datagrams that were dropped, see ErrForeign and the other errors
+	Sent, Unsent, Received              uint64 // unsent: too long, unknown receiver, full queue, or failed to send
+	Foreign, Replayed, Old, Misdirected uint64 // received datagrams that were dropped, see ErrForeign and the other errors
 }
 
 // sendQueueSize limits the datagrams that wait to be sent. A further one is dropped; the sender must expect losses anyway,
@@ -34,7 +34,7 @@
 const mostUnsent = 1 << 12
 
 // Transport exchanges messages with the other instances over a UDP socket.
-type Link struct {
+type Transport struct {
 	conn  *net.UDPConn
 	me    int
 	addrs []*net.UDPAddr // by instance
@@ -64,8 +64,8 @@
 }
 
 // OpenSealed binds the address of this instance for messages that are encrypted and authenticated.
-func Open(cfg *config.Config, sink Sink, log zerolog.Logger) (*Link, error) {
-	transport := &Link{me: cfg.Me, sink: sink, log: log, out: make(chan outgoing, mostUnsent)}
+func OpenSealed(cfg *config.Config, sink Sink, log zerolog.Logger) (*Transport, error) {
+	transport := &Transport{me: cfg.Me, sink: sink, log: log, out: make(chan outgoing, mostUnsent)}
 	for _, instance := range cfg.Instances {
 		addr, err := net.ResolveUDPAddr("udp", instance.Peer)
 		if err != nil {
@@ -86,8 +86,8 @@
 // OpenPlain binds the address listen for messages that are not sealed. It is for a network on which nobody else can send: a
 // datagram is accepted if it comes from the address of another instance. Peers has the address of each instance, including
 // this one; broadcast is an address that reaches all others, "" for none.
-func OpenPlain(listen string, peers []string, broadcast string, me int, sink Sink, log zerolog.Logger) (*Link, error) {
-	transport := &Link{me: me, sink: sink, log: log, out: make(chan outgoing, mostUnsent)}
+func OpenPlain(listen string, peers []string, broadcast string, me int, sink Sink, log zerolog.Logger) (*Transport, error) {
+	transport := &Transport{me: me, sink: sink, log: log, out: make(chan outgoing, mostUnsent)}
 	format := plain{me: me, from: map[netip.AddrPort]int{}}
 	for i, peer := range peers {
 		addr, err := net.ResolveUDPAddr("udp", peer)
@@ -123,7 +123,7 @@
 
 // listen binds the socket. It retries if the system is short of a resource, and if the address is still in use by a process
 // that is exiting.
-func (l *Link) listen(addr *net.UDPAddr) error {
+func (l *Transport) listen(addr *net.UDPAddr) error {
 	ctx, cancel := context.WithTimeout(context.Background(), listenFor)
 	defer cancel()
 	err := syserr.Retry(ctx, syserr.Busy, func() (err error) {
@@ -137,7 +137,7 @@
 }
 
 // Tell queues a message for one instance, or for all others with policy.Broadcast. It never blocks; the message may be lost.
-func (l *Link) Tell(instance int, data []byte) {
+func (l *Transport) Tell(instance int, data []byte) {
 	if instance == policy.Broadcast && l.all == nil {
 		for i := range l.addrs {
 			if i != l.me {
@@ -158,7 +158,7 @@
 }
 
 // Run sends and receives messages until ctx is done, then closes the socket.
-func (l *Link) Run(ctx context.Context) {
+func (l *Transport) Run(ctx context.Context) {
 	var reader sync.WaitGroup
 	reader.Add(1)
 	go func() {
@@ -191,7 +191,7 @@
 }
 
 // receive passes the messages of accepted datagrams to the sink until the socket is closed.
-func (l *Link) read() {
+func (l *Transport) read() {
 	buf := make([]byte, maxPacket+1)
 	for {
 		n, source, err := l.conn.ReadFromUDPAddrPort(buf)
@@ -221,6 +221,6 @@
 }
 
 // Counts returns the totals so far.
-func (l *Link) Counts() Counts {
+func (l *Transport) Counts() Counts {
 	return Counts{l.sent.Load(), l.unsent.Load(), l.heard.Load(), l.foreign.Load(), l.replayed.Load(), l.old.Load(), l.wrongWay.Load()}
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -48,13 +48,13 @@
 	}
 	defer tap.Close()
 	key := bytes.Repeat([]byte{7}, 32)
-	open := func(me int, addrs ...string) (*Link, *heard) {
+	open := func(me int, addrs ...string) (*Transport, *heard) {
 		cfg := &config.Config{Me: me, PeerKey: key}
 		for i, addr := range addrs {
 			cfg.Instances = append(cfg.Instances, config.Instance{Number: i, Peer: addr})
 		}
 		messages := &heard{}
-		transport, err := Open(cfg, messages, zerolog.Nop())
+		transport, err := OpenSealed(cfg, messages, zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -82,7 +82,7 @@
 			t.Fatal(err)
 		}
 	}
-	wait(t, func() bool { c := receiver.Counts(); return c.Heard+c.Replayed+c.Foreign == 4 })
+	wait(t, func() bool { c := receiver.Counts(); return c.Received+c.Replayed+c.Foreign == 4 })
 	if c := receiver.Counts(); got.count() != 1 || got.list[0] != "0hello" || c.Replayed != 1 || c.Foreign != 2 {
 		t.Errorf("received %v, counts %+v", got.list, c)
 	}
@@ -125,7 +125,7 @@
 		}
 	}
 	transport.Tell(1, []byte("echo")) // to itself
-	wait(t, func() bool { c := transport.Counts(); return c.Heard == 3 && c.Foreign == 2 && c.WrongWay == 1 })
+	wait(t, func() bool { c := transport.Counts(); return c.Received == 3 && c.Foreign == 2 && c.Misdirected == 1 })
 	got.mu.Lock()
 	if len(got.list) != 3 || got.list[0] != "0"+string(bytes.Repeat([]byte{'m'}, MaxPlain)) || got.list[1] != "2" || got.list[2] != "2m" {
 		t.Errorf("received %d messages: %.20q", len(got.list), got.list)
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -84,7 +84,7 @@
 	"cell": policy.ScopeCell}
 
 // Settings are the settings of an instance: those of the policy module, and those of the connections.
-type Terms struct {
+type Settings struct {
 	policy.Settings
 	ConnIdleS    float64 // a server closes a connection that was idle for so long, in seconds; 0: never
 	DialTimeoutS float64 // timeout for opening a connection, in seconds
@@ -94,12 +94,12 @@
 
 // Parse translates the settings object. Its error names a part of the wrong type or with an unknown value. The values of the
 // module's settings are checked by policy.New.
-func Read(text []byte) (Terms, error) {
+func Parse(text []byte) (Settings, error) {
 	var wire object
 	if err := json.Unmarshal(text, &wire); err != nil {
-		return Terms{}, err
+		return Settings{}, err
 	}
-	settings := Terms{ConnIdleS: wire.Limits.ConnIdleS, DialTimeoutS: wire.Limits.DialTimeoutS, Multiplex: wire.Limits.Multiplex,
+	settings := Settings{ConnIdleS: wire.Limits.ConnIdleS, DialTimeoutS: wire.Limits.DialTimeoutS, Multiplex: wire.Limits.Multiplex,
 		MostHeld: wire.Limits.MostHeld}
 	settings.Settings = policy.Settings{
 		Me: wire.Me, Gateways: wire.Balancers, Zone: wire.MyZone,
--- a/internal/terms/terms_test.go
+++ b/internal/terms/terms_test.go
@@ -10,7 +10,7 @@
 
 func TestParse(t *testing.T) {
 	object := standin.PlatformSettings(1, 3)
-	settings, err := Read([]byte(object))
+	settings, err := Parse([]byte(object))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 		t.Errorf("classes %+v, plans %+v", settings.Classes, settings.Plans)
 	}
 	for good, bad := range map[string]string{`"dedup"`: `"once"`, `"zone"`: `"house"`, `"balancers":3`: `"balancers":"3"`, `{"balancers"`: `["balancers"`} {
-		if _, err := Read([]byte(strings.Replace(object, good, bad, 1))); err == nil {
+		if _, err := Parse([]byte(strings.Replace(object, good, bad, 1))); err == nil {
 			t.Errorf("%s is accepted", bad)
 		}
 	}
