--- a/internal/edge/endpoints/endpoints_test.go
+++ b/internal/edge/endpoints/endpoints_test.go
@@ -21,14 +21,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const entry = `{"host":"s-1","dial":"10.1.0.18:6379","site":"a","class":"m2","block":3,"health":"SERVING","share":0.5,"born_ms":1500}`
+const validEntry = `{"host":"s-1","dial":"10.1.0.18:6379","site":"a","class":"m2","block":3,"health":"SERVING","share":0.5,"born_ms":1500}`
 
-func list(entries ...string) string {
+func fullList(entries ...string) string {
 	return `{"seq":41,"whole":true,"hosts":[` + strings.Join(entries, ",") + `],"later":1}`
 }
 
 func TestParse(t *testing.T) {
-	l, err := Parse([]byte(list(entry, `{"host":"s-2","health":"DELETED"}`)))
+	l, err := Parse([]byte(fullList(validEntry, `{"host":"s-2","health":"DELETED"}`)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 	if l.Version != 41 || !l.Full || len(l.Servers) != 2 || l.Servers[0] != want || l.Servers[1].State != policy.Removed || l.Addrs["s-1"] != "10.1.0.18:6379" {
 		t.Fatalf("%+v", l)
 	}
-	complete := list(entry)
+	complete := fullList(validEntry)
 	for i := range len(complete) { // a truncated answer is rejected
 		if _, err := Parse([]byte(complete[:i])); err == nil {
 			t.Errorf("truncated to %d bytes it is accepted: %q", i, complete[:i])
@@ -44,10 +44,10 @@
 	}
 	for _, bad := range []string{"null", "[]", `"x"`, `{"whole":true,"hosts":[]}`, `{"seq":-1,"whole":true}`, `{"seq":1.5,"whole":true}`, `{"seq":"1","whole":true}`,
 		`{"seq":1,"whole":1}`, `{"seq":1,"hosts":{}}`,
-		list(strings.Replace(entry, "SERVING", "UP", 1)), list(strings.Replace(entry, `"s-1"`, `""`, 1)), list(strings.Replace(entry, `"s-1"`, `5`, 1)),
-		list(strings.Replace(entry, ":6379", "", 1)), list(strings.Replace(entry, ":6379", ":0", 1)), list(strings.Replace(entry, ":6379", ":70000", 1)),
-		list(strings.Replace(entry, "10.1.0.18", "backend.example", 1)), list(strings.Replace(entry, `"block":3`, `"block":"3"`, 1)),
-		list(entry + strings.Repeat(","+entry, maxHosts))} {
+		fullList(strings.Replace(validEntry, "SERVING", "UP", 1)), fullList(strings.Replace(validEntry, `"s-1"`, `""`, 1)), fullList(strings.Replace(validEntry, `"s-1"`, `5`, 1)),
+		fullList(strings.Replace(validEntry, ":6379", "", 1)), fullList(strings.Replace(validEntry, ":6379", ":0", 1)), fullList(strings.Replace(validEntry, ":6379", ":70000", 1)),
+		fullList(strings.Replace(validEntry, "10.1.0.18", "backend.example", 1)), fullList(strings.Replace(validEntry, `"block":3`, `"block":"3"`, 1)),
+		fullList(validEntry + strings.Repeat(","+validEntry, maxHosts))} {
 		if l, err := Parse([]byte(bad)); err == nil {
 			t.Errorf("%.80q is accepted: %d entries", bad, len(l.Servers))
 		}
@@ -243,7 +243,7 @@
 	return client, received
 }
 
-func until(t *testing.T, what string, done func() bool) {
+func waitFor(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !done(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -257,11 +257,11 @@
 func TestFollowsListsAndChangesAddress(t *testing.T) {
 	first, second := startDiscovery(t, host("s-1")), startDiscovery(t, host("s-9"))
 	client, got := follow(t, first.Addr())
-	until(t, "first list", func() bool { n, _ := got.last(); return n == 1 })
+	waitFor(t, "first list", func() bool { n, _ := got.last(); return n == 1 })
 	first.Set(host("s-1"), host("s-2"))
-	until(t, "the change", func() bool { _, l := got.last(); return len(l.Servers) == 2 })
+	waitFor(t, "the change", func() bool { _, l := got.last(); return len(l.Servers) == 2 })
 	client.SetAddress(second.Addr())
-	until(t, "the list of the new address", func() bool { _, l := got.last(); return l.Full && len(l.Servers) == 1 && l.Servers[0].ID == "s-9" })
+	waitFor(t, "the list of the new address", func() bool { _, l := got.last(); return l.Full && len(l.Servers) == 1 && l.Servers[0].ID == "s-9" })
 	if requests := second.Calls(); requests[0] != "/api/targets" {
 		t.Errorf("the first request to the new address is %s", requests[0])
 	}
@@ -279,10 +279,10 @@
 		"closed":        func(w http.ResponseWriter) { hangUp(w, "", false) },
 		"reset":         func(w http.ResponseWriter) { hangUp(w, "", true) },
 		"no length, reset": func(w http.ResponseWriter) {
-			hangUp(w, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+list(entry)[:60], true)
+			hangUp(w, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+fullList(validEntry)[:60], true)
 		},
 		"no length, closed": func(w http.ResponseWriter) {
-			hangUp(w, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+list(entry)[:60], false)
+			hangUp(w, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+fullList(validEntry)[:60], false)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -295,8 +295,8 @@
 				return n <= 2
 			})
 			client, received := follow(t, discovery.Addr())
-			until(t, "a valid list", func() bool { n, _ := received.last(); return n > 0 })
-			until(t, "the full list", func() bool { _, l := received.last(); return l.Full })
+			waitFor(t, "a valid list", func() bool { n, _ := received.last(); return n > 0 })
+			waitFor(t, "the full list", func() bool { _, l := received.last(); return l.Full })
 			if _, l := received.last(); len(l.Servers) != 1 {
 				t.Errorf("%+v", l)
 			}
@@ -323,7 +323,7 @@
 // A list is accepted in any form that HTTP and JSON allow.
 func TestAnswerForms(t *testing.T) {
 	var text bytes.Buffer
-	if err := json.Indent(&text, []byte(list(entry)), "", "\t"); err != nil {
+	if err := json.Indent(&text, []byte(fullList(validEntry)), "", "\t"); err != nil {
 		t.Fatal(err)
 	}
 	for name, send := range map[string]func(w http.ResponseWriter){
@@ -340,7 +340,7 @@
 		discovery := startDiscovery(t, host("s-2"))
 		discovery.Spoil(func(w http.ResponseWriter, _ *http.Request) bool { send(w); return true })
 		_, received := follow(t, discovery.Addr())
-		until(t, name, func() bool { _, l := received.last(); return len(l.Servers) == 1 && l.Servers[0].ID == "s-1" })
+		waitFor(t, name, func() bool { _, l := received.last(); return len(l.Servers) == 1 && l.Servers[0].ID == "s-1" })
 	}
 }
 
@@ -349,7 +349,7 @@
 func TestSetAddressToTheSameAddress(t *testing.T) {
 	discovery := startDiscovery(t, host("s-1"))
 	client, received := follow(t, discovery.Addr())
-	until(t, "a long poll is open", func() bool { return len(discovery.Calls()) == 2 })
+	waitFor(t, "a long poll is open", func() bool { return len(discovery.Calls()) == 2 })
 	release := make(chan struct{})
 	discovery.Spoil(func(w http.ResponseWriter, req *http.Request) bool {
 		if req.URL.RawQuery != "" {
@@ -360,11 +360,11 @@
 		return false
 	})
 	discovery.Set(host("s-1"), host("s-2"))
-	until(t, "another long poll is open", func() bool { return len(discovery.Calls()) == 3 })
+	waitFor(t, "another long poll is open", func() bool { return len(discovery.Calls()) == 3 })
 	client.SetAddress(discovery.Addr())
-	until(t, "the full list is requested", func() bool { requests := discovery.Calls(); return len(requests) > 3 && requests[3] == "/api/targets" })
+	waitFor(t, "the full list is requested", func() bool { requests := discovery.Calls(); return len(requests) > 3 && requests[3] == "/api/targets" })
 	close(release)
-	until(t, "further lists arrive", func() bool { n, _ := received.last(); return n > 2 })
+	waitFor(t, "further lists arrive", func() bool { n, _ := received.last(); return n > 2 })
 	received.mu.Lock()
 	defer received.mu.Unlock()
 	for _, l := range received.lists[:3] {
@@ -392,7 +392,7 @@
 		return silent
 	})
 	_, received := follow(t, discovery.Addr())
-	until(t, "requests", func() bool { mu.Lock(); defer mu.Unlock(); return len(requestTimes) >= 8 })
+	waitFor(t, "requests", func() bool { mu.Lock(); defer mu.Unlock(); return len(requestTimes) >= 8 })
 	mu.Lock()
 	down = false
 	took := requestTimes[7].Sub(requestTimes[0])
@@ -400,5 +400,5 @@
 	if took > seconds(7*answerTimeoutS) { // the intervals are about 0.2 s, so a busy machine keeps this limit too
 		t.Errorf("seven intervals took %v", took)
 	}
-	until(t, "the list", func() bool { n, _ := received.last(); return n > 0 })
+	waitFor(t, "the list", func() bool { n, _ := received.last(); return n > 0 })
 }
--- a/internal/edge/faults_test.go
+++ b/internal/edge/faults_test.go
@@ -90,7 +90,7 @@
 			t.Logf("counts of failed calls %v, end of the log:\n%s", ingress.Counts(), tail(ingress.log.String(), 3000))
 		}
 	})
-	until(t, "it answers", ingress.answers)
+	waitFor(t, "it answers", ingress.answers)
 	return ingress
 }
 
@@ -456,7 +456,7 @@
 			t.Fatal(err)
 		}
 		readable := time.Now()
-		until(t, "the new discovery server is polled", func() bool { return len(next.discovery.Calls()) > 0 })
+		waitFor(t, "the new discovery server is polled", func() bool { return len(next.discovery.Calls()) > 0 })
 		if took := time.Since(readable); took > time.Second {
 			t.Errorf("the new discovery server was polled %v after the file could be read", took)
 		}
--- a/internal/edge/serve_test.go
+++ b/internal/edge/serve_test.go
@@ -114,7 +114,7 @@
 // answerNow is a server's answer function that answers at once.
 func answerNow(conn net.Conn, s standin.Served) { _, _ = conn.Write(standin.Good(s)) }
 
-func until(t *testing.T, what string, done func() bool) {
+func waitFor(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !done(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -197,7 +197,7 @@
 	conn := dial(t, addr)
 	held := "00000000000000ff"
 	conn.send(request(held, "status", "basic", 2500))
-	until(t, "the request is open", func() bool { return ingress.loop.Status().Held == 1 })
+	waitFor(t, "the request is open", func() bool { return ingress.loop.Status().Held == 1 })
 	other := dial(t, addr)
 	other.send(request(held, "status", "basic", 2500))
 	other.expect("-ERR*")
@@ -323,9 +323,9 @@
 		host.Host = fmt.Sprint("s-new-", i)
 		host.BornMS = time.Now().Add(-time.Minute).UnixMilli()
 		platform.discovery.Set(host)
-		until(t, "the new server is listed", func() bool { return ingress.loop.Beliefs()[0].Server.ID == host.Host })
+		waitFor(t, "the new server is listed", func() bool { return ingress.loop.Beliefs()[0].Server.ID == host.Host })
 	}
-	until(t, "the old connections are closed", func() bool { return platform.servers[0].Open() <= 1 && len(ingress.pool.Held()) == 1 })
+	waitFor(t, "the old connections are closed", func() bool { return platform.servers[0].Open() <= 1 && len(ingress.pool.Held()) == 1 })
 	if n := platform.servers[0].Count(); n < times {
 		t.Errorf("%d connections to %d servers at one address", n, times)
 	}
@@ -341,7 +341,7 @@
 	conn.send(request(id, "status", "basic", 2500))
 	conn.expect("value of " + id)
 	busy.send(request("00000000000000ee", "pay", "basic", 6000))
-	until(t, "the request is in flight", func() bool { return ingress.loop.Status().Held == 1 })
+	waitFor(t, "the request is in flight", func() bool { return ingress.loop.Status().Held == 1 })
 	next, err := standin.NewRoster(platform.hosts[0])
 	if err != nil {
 		t.Fatal(err)
@@ -352,11 +352,11 @@
 	ingress.Reload(&cfg)
 	ingress.Reload(&cfg) // a repeated reload has no effect
 	platform.discovery.Close()
-	until(t, "the new discovery server is polled", func() bool { return len(next.Calls()) > 1 })
+	waitFor(t, "the new discovery server is polled", func() bool { return len(next.Calls()) > 1 })
 	second := platform.hosts[0]
 	second.Host = "s-second"
 	next.Set(platform.hosts[0], second)
-	until(t, "its changes arrive", func() bool { return len(ingress.loop.Beliefs()) == 2 })
+	waitFor(t, "its changes arrive", func() bool { return len(ingress.loop.Beliefs()) == 2 })
 	close(hold)
 	busy.expect("value of 00000000000000ee")
 	id = newID()
@@ -381,7 +381,7 @@
 	idle.send(resp.AppendCommand(nil, "PING"))
 	idle.expect("+PONG")
 	busy.send(request("00000000000000dd", "order", "basic", 6000))
-	until(t, "the requests are in flight", func() bool { return ingress.loop.Status().Held == 2 })
+	waitFor(t, "the requests are in flight", func() bool { return ingress.loop.Status().Held == 2 })
 	start := time.Now()
 	done := make(chan struct{})
 	go func() { defer close(done); ingress.Stop() }()
@@ -446,9 +446,9 @@
 			hosts[i].Host = fmt.Sprint("r-", round, "-", i)
 		}
 		platform.discovery.Set(hosts...)
-		until(t, "the new servers are listed", func() bool { return ingress.loop.Beliefs()[0].Server.ID == hosts[0].Host })
+		waitFor(t, "the new servers are listed", func() bool { return ingress.loop.Beliefs()[0].Server.ID == hosts[0].Host })
 	}
-	until(t, "all state of earlier clients and servers is released", func() bool {
+	waitFor(t, "all state of earlier clients and servers is released", func() bool {
 		status := ingress.loop.Status()
 		return ingress.front.Open() == 0 && status.Held == 0 && len(ingress.pool.Held()) == 2
 	})
@@ -484,7 +484,7 @@
 		}
 		started <- ingress
 	}()
-	until(t, "discovery is polled", func() bool { return len(platform.discovery.Calls()) > 1 })
+	waitFor(t, "discovery is polled", func() bool { return len(platform.discovery.Calls()) > 1 })
 	if conn, err := net.Dial("tcp", listen); err == nil {
 		conn.Close()
 		t.Error("a client is accepted without a list")
@@ -518,7 +518,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = child.Process.Kill() }()
-	until(t, "it listens", func() bool {
+	waitFor(t, "it listens", func() bool {
 		conn, err := net.Dial("tcp", listen)
 		if err == nil {
 			conn.Close()
@@ -557,7 +557,7 @@
 			t.Fatal(err)
 		}
 	}
-	until(t, "a client is served beside the silent ones", isServed)
+	waitFor(t, "a client is served beside the silent ones", isServed)
 	for range 20 {
 		if !isServed() {
 			t.Error("a client is not served")
--- a/internal/edge/signals_test.go
+++ b/internal/edge/signals_test.go
@@ -80,7 +80,7 @@
 				answerAfter(hold, "ee")(conn, s)
 			})
 			path, addr, hup, term, end := runIngress(t, platform, platform.discovery.List())
-			until(t, "it serves", func() bool {
+			waitFor(t, "it serves", func() bool {
 				conn, err := net.Dial("tcp", addr)
 				if err == nil {
 					conn.Close()
@@ -106,7 +106,7 @@
 				first <- firstSignal
 				second <- secondSignal
 			}
-			until(t, "the new discovery server is polled", func() bool { return len(next.Calls()) > 0 })
+			waitFor(t, "the new discovery server is polled", func() bool { return len(next.Calls()) > 0 })
 			close(hold)
 			conn.expect("value of 00000000000000ee")
 			conn.expectClosed()
--- a/internal/edge/svc/svc_test.go
+++ b/internal/edge/svc/svc_test.go
@@ -23,7 +23,7 @@
 	submitFields = "c=order,t=basic,d=480.5,k=5c0f6e1a2b3d4c59,r=1,units=4,spread=4,first=3"
 )
 
-func words(s ...string) (args [][]byte) {
+func byteArgs(s ...string) (args [][]byte) {
 	for _, w := range s {
 		args = append(args, []byte(w))
 	}
@@ -31,7 +31,7 @@
 }
 
 func TestParse(t *testing.T) {
-	call, err := testParser().Parse(words("SVC.QUERY", "00000000b4d65521", "9b1f03aa5c7e2d41", queryFields))
+	call, err := testParser().Parse(byteArgs("SVC.QUERY", "00000000b4d65521", "9b1f03aa5c7e2d41", queryFields))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 		call.Entries != 3 || call.First != 1 || call.Retry || call.Key != "" {
 		t.Errorf("%+v", call)
 	}
-	call, err = testParser().Parse(words("SVC.SUBMIT", "00000001ffffffff", "0000000000000000", submitFields, "\x00body\r\n"))
+	call, err = testParser().Parse(byteArgs("SVC.SUBMIT", "00000001ffffffff", "0000000000000000", submitFields, "\x00body\r\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 		"malformed key":        {"SVC.SUBMIT", "00000000b4d65521", "9b1f03aa5c7e2d41", strings.Replace(submitFields, "5c0f", "5c0", 1)},
 	}
 	for name, w := range bad {
-		if call, err := testParser().Parse(words(w...)); err == nil {
+		if call, err := testParser().Parse(byteArgs(w...)); err == nil {
 			t.Errorf("%s is accepted: %+v", name, call)
 		} else if strings.ContainsAny(err.Error(), "\r\n") {
 			t.Errorf("%s: the error has more than one line: %q", name, err)
@@ -93,7 +93,7 @@
 	for i := range len(submitFields) {
 		for _, text := range []string{submitFields[:i], submitFields[i:], submitFields[:i] + "\x00" + submitFields[i+1:],
 			submitFields[:i] + "=" + submitFields[i:], submitFields[:i] + "," + submitFields[i:]} {
-			call, err := testParser().Parse(words("SVC.SUBMIT", "00000000b4d65521", "9b1f03aa5c7e2d41", text))
+			call, err := testParser().Parse(byteArgs("SVC.SUBMIT", "00000000b4d65521", "9b1f03aa5c7e2d41", text))
 			if err == nil && (call.Units < 1 || call.Units > 4 || call.Entries < 1 || call.Entries > 4 || call.First < 0 || call.First > 3 ||
 				!(call.WithinS > 0)) {
 				t.Errorf("%q is accepted as %+v", text, call)
@@ -104,7 +104,7 @@
 
 // A server gets the words of the client unchanged, except that d is the time for which the ingress waits.
 func TestAppendAttempt(t *testing.T) {
-	call, err := testParser().Parse(words("SVC.SUBMIT", "00000000b4d65521", "9b1f03aa5c7e2d41", submitFields, "body"))
+	call, err := testParser().Parse(byteArgs("SVC.SUBMIT", "00000000b4d65521", "9b1f03aa5c7e2d41", submitFields, "body"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -216,7 +216,7 @@
 		{[]string{"HELLO", "3"}, 0, "-ERR "}, {[]string{"PING", "x"}, 0, "-ERR "}, {[]string{"FLUSHALL"}, 0, "-ERR "}, {[]string{""}, 0, "-ERR "},
 	} {
 		conn := &recordingConn{}
-		NewClientProtocol(testParser()).Command(conn, words(test.words...))
+		NewClientProtocol(testParser()).Command(conn, byteArgs(test.words...))
 		if len(conn.requests) != test.requests || !strings.HasPrefix(conn.text, test.text) || test.requests > 0 && conn.text != "" {
 			t.Errorf("%v: %d requests, answered %q", test.words, len(conn.requests), conn.text)
 		}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -19,8 +19,7 @@
 
 // Sink receives the messages of other instances.
 type Sink interface {
-	// Heard takes an accepted message and the number of the instance that sent it.
-	Heard(from int, data []byte)
+	Heard(from int, data []byte) // takes an accepted message and the number of the instance that sent it
 }
 
 // Counts are totals since the start.
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -17,21 +17,21 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// heard records the messages that a transport receives, each after the digit of its sender.
-type heard struct {
-	mu   sync.Mutex
-	list []string
+// messageRecorder records the messages that a transport receives, each after the digit of its sender.
+type messageRecorder struct {
+	mu       sync.Mutex
+	messages []string
 }
 
-func (h *heard) Heard(from int, data []byte) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.list = append(h.list, string(rune('0'+from))+string(data))
+func (r *messageRecorder) Heard(from int, data []byte) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.messages = append(r.messages, string(rune('0'+from))+string(data))
 }
 
-func (h *heard) count() int { h.mu.Lock(); defer h.mu.Unlock(); return len(h.list) }
+func (r *messageRecorder) count() int { r.mu.Lock(); defer r.mu.Unlock(); return len(r.messages) }
 
-func wait(t *testing.T, done func() bool) {
+func waitFor(t *testing.T, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !done(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -48,12 +48,12 @@
 	}
 	defer tap.Close()
 	key := bytes.Repeat([]byte{7}, 32)
-	open := func(me int, addrs ...string) (*Transport, *heard) {
+	open := func(me int, addrs ...string) (*Transport, *messageRecorder) {
 		cfg := &config.Config{Me: me, PeerKey: key}
 		for i, addr := range addrs {
 			cfg.Instances = append(cfg.Instances, config.Instance{Number: i, Peer: addr})
 		}
-		messages := &heard{}
+		messages := &messageRecorder{}
 		transport, err := OpenSealed(cfg, messages, zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
@@ -82,9 +82,9 @@
 			t.Fatal(err)
 		}
 	}
-	wait(t, func() bool { c := receiver.Counts(); return c.Received+c.Replayed+c.Foreign == 4 })
-	if c := receiver.Counts(); got.count() != 1 || got.list[0] != "0hello" || c.Replayed != 1 || c.Foreign != 2 {
-		t.Errorf("received %v, counts %+v", got.list, c)
+	waitFor(t, func() bool { c := receiver.Counts(); return c.Received+c.Replayed+c.Foreign == 4 })
+	if c := receiver.Counts(); got.count() != 1 || got.messages[0] != "0hello" || c.Replayed != 1 || c.Foreign != 2 {
+		t.Errorf("received %v, counts %+v", got.messages, c)
 	}
 	if c := sender.Counts(); c.Unsent != 2 {
 		t.Errorf("%d unsent, want 2: an unknown receiver and a message that is too long", c.Unsent)
@@ -104,7 +104,7 @@
 	other, third, broadcast, stranger, mine := socket(), socket(), socket(), socket(), socket()
 	me := mine.LocalAddr().String()
 	mine.Close()
-	got := &heard{}
+	got := &messageRecorder{}
 	peers := []string{other.LocalAddr().String(), me, third.LocalAddr().String()}
 	transport, err := OpenPlain(me, peers, broadcast.LocalAddr().String(), 1, got, zerolog.Nop())
 	if err != nil {
@@ -125,10 +125,10 @@
 		}
 	}
 	transport.Tell(1, []byte("echo")) // to itself
-	wait(t, func() bool { c := transport.Counts(); return c.Received == 3 && c.Foreign == 2 && c.Misdirected == 1 })
+	waitFor(t, func() bool { c := transport.Counts(); return c.Received == 3 && c.Foreign == 2 && c.Misdirected == 1 })
 	got.mu.Lock()
-	if len(got.list) != 3 || got.list[0] != "0"+string(bytes.Repeat([]byte{'m'}, MaxPlainMessage)) || got.list[1] != "2" || got.list[2] != "2m" {
-		t.Errorf("received %d messages: %.20q", len(got.list), got.list)
+	if len(got.messages) != 3 || got.messages[0] != "0"+string(bytes.Repeat([]byte{'m'}, MaxPlainMessage)) || got.messages[1] != "2" || got.messages[2] != "2m" {
+		t.Errorf("received %d messages: %.20q", len(got.messages), got.messages)
 	}
 	got.mu.Unlock()
 	expect := func(conn *net.UDPConn, want string) {
@@ -144,7 +144,7 @@
 	transport.Tell(policy.Broadcast, []byte("all"))
 	expect(broadcast, "all")
 	transport.Tell(0, bytes.Repeat([]byte{'m'}, MaxPlainMessage+1))
-	wait(t, func() bool { return transport.Counts().Unsent == 1 })
+	waitFor(t, func() bool { return transport.Counts().Unsent == 1 })
 	for _, bad := range [][2]string{{"x", ""}, {me, "x"}} {
 		if _, err := OpenPlain(bad[0], peers, bad[1], 1, got, zerolog.Nop()); err == nil {
 			t.Errorf("the addresses %q are accepted", bad)
--- a/internal/peer/seal_test.go
+++ b/internal/peer/seal_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-func pair(t interface{ Fatal(...any) }, boot uint64) (*sealer, *sealer) {
+func newSealerPair(t interface{ Fatal(...any) }, boot uint64) (*sealer, *sealer) {
 	key := bytes.Repeat([]byte{7}, 32)
 	a, err := newSealer(key, 0, 3, boot)
 	if err != nil {
@@ -30,58 +30,58 @@
 	return a, b
 }
 
-const noon = int64(1e18)
+const testTimeNS = int64(1e18)
 
 func TestSealed(t *testing.T) {
-	sender, receiver := pair(t, 5)
-	datagram := sender.seal(1, []byte("hello"), noon)
+	sender, receiver := newSealerPair(t, 5)
+	datagram := sender.seal(1, []byte("hello"), testTimeNS)
 	if bytes.Contains(datagram, []byte("hello")) {
 		t.Fatal("the message is not encrypted")
 	}
-	from, message, err := receiver.open(datagram, netip.AddrPort{}, noon+1e9)
+	from, message, err := receiver.open(datagram, netip.AddrPort{}, testTimeNS+1e9)
 	if err != nil || from != 0 || string(message) != "hello" {
 		t.Fatalf("%d %q %v", from, message, err)
 	}
-	if _, _, err := receiver.open(datagram, netip.AddrPort{}, noon); !errors.Is(err, ErrReplayed) {
+	if _, _, err := receiver.open(datagram, netip.AddrPort{}, testTimeNS); !errors.Is(err, ErrReplayed) {
 		t.Errorf("received twice: %v", err)
 	}
 	for i := range datagram {
 		bad := bytes.Clone(datagram)
 		bad[i] ^= 1
-		if _, _, err := receiver.open(bad, netip.AddrPort{}, noon); err == nil {
+		if _, _, err := receiver.open(bad, netip.AddrPort{}, testTimeNS); err == nil {
 			t.Errorf("a change of byte %d is not detected", i)
 		}
 	}
 	for i := range datagram {
-		if _, _, err := receiver.open(datagram[:i], netip.AddrPort{}, noon); !errors.Is(err, ErrForeign) {
+		if _, _, err := receiver.open(datagram[:i], netip.AddrPort{}, testTimeNS); !errors.Is(err, ErrForeign) {
 			t.Errorf("truncated to %d bytes: %v", i, err)
 		}
 	}
-	if _, _, err := receiver.open(sender.seal(2, nil, noon), netip.AddrPort{}, noon); !errors.Is(err, ErrMisdirected) {
+	if _, _, err := receiver.open(sender.seal(2, nil, testTimeNS), netip.AddrPort{}, testTimeNS); !errors.Is(err, ErrMisdirected) {
 		t.Errorf("for another instance: %v", err)
 	}
-	if _, _, err := receiver.open(sender.seal(1, nil, noon-31e9), netip.AddrPort{}, noon); !errors.Is(err, ErrOld) {
+	if _, _, err := receiver.open(sender.seal(1, nil, testTimeNS-31e9), netip.AddrPort{}, testTimeNS); !errors.Is(err, ErrOld) {
 		t.Errorf("31 s old: %v", err)
 	}
 	other, _ := newSealer(bytes.Repeat([]byte{8}, 32), 0, 3, 5)
-	if _, _, err := receiver.open(other.seal(1, nil, noon), netip.AddrPort{}, noon); !errors.Is(err, ErrForeign) {
+	if _, _, err := receiver.open(other.seal(1, nil, testTimeNS), netip.AddrPort{}, testTimeNS); !errors.Is(err, ErrForeign) {
 		t.Errorf("another key: %v", err)
 	}
 	stranger, _ := newSealer(bytes.Repeat([]byte{7}, 32), 9, 10, 5)
-	if _, _, err := receiver.open(stranger.seal(1, nil, noon), netip.AddrPort{}, noon); !errors.Is(err, ErrMisdirected) {
+	if _, _, err := receiver.open(stranger.seal(1, nil, testTimeNS), netip.AddrPort{}, testTimeNS); !errors.Is(err, ErrMisdirected) {
 		t.Errorf("an instance that is not listed: %v", err)
 	}
 }
 
 // Datagrams of a restarted sender are accepted at once. From then on, those that it sent before the restart are rejected.
 func TestRestartedSender(t *testing.T) {
-	sender, receiver := pair(t, 5)
-	restarted, _ := pair(t, 6)
-	late := sender.seal(1, []byte("late"), noon)
-	if _, _, err := receiver.open(restarted.seal(1, []byte("new"), noon), netip.AddrPort{}, noon); err != nil {
+	sender, receiver := newSealerPair(t, 5)
+	restarted, _ := newSealerPair(t, 6)
+	late := sender.seal(1, []byte("late"), testTimeNS)
+	if _, _, err := receiver.open(restarted.seal(1, []byte("new"), testTimeNS), netip.AddrPort{}, testTimeNS); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := receiver.open(late, netip.AddrPort{}, noon); !errors.Is(err, ErrReplayed) {
+	if _, _, err := receiver.open(late, netip.AddrPort{}, testTimeNS); !errors.Is(err, ErrReplayed) {
 		t.Fatalf("of an earlier boot: %v", err)
 	}
 }
