--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -35,7 +35,7 @@
 // Transport exchanges messages with the other instances over a UDP socket.
 type Transport struct {
 	conn          *net.UDPConn
-	me            int
+	self          int
 	addrs         []*net.UDPAddr // by instance
 	sink          Sink
 	log           zerolog.Logger
@@ -64,7 +64,7 @@
 
 // OpenSealed binds the address of this instance for messages that are encrypted and authenticated.
 func OpenSealed(cfg *config.Config, sink Sink, log zerolog.Logger) (*Transport, error) {
-	transport := &Transport{me: cfg.Me, sink: sink, log: log, queue: make(chan outgoing, sendQueueSize)}
+	transport := &Transport{self: cfg.Me, sink: sink, log: log, queue: make(chan outgoing, sendQueueSize)}
 	for _, instance := range cfg.Instances {
 		addr, err := net.ResolveUDPAddr("udp", instance.Peer)
 		if err != nil {
@@ -85,9 +85,9 @@
 // OpenPlain binds the address listen for messages that are not sealed. It is for a network on which nobody else can send: a
 // datagram is accepted if it comes from the address of another instance. Peers has the address of each instance, including
 // this one; broadcast is an address that reaches all others, "" for none.
-func OpenPlain(listen string, peers []string, broadcast string, me int, sink Sink, log zerolog.Logger) (*Transport, error) {
-	transport := &Transport{me: me, sink: sink, log: log, queue: make(chan outgoing, sendQueueSize)}
-	format := plainEnvelope{me: me, senders: map[netip.AddrPort]int{}}
+func OpenPlain(listen string, peers []string, broadcast string, self int, sink Sink, log zerolog.Logger) (*Transport, error) {
+	transport := &Transport{self: self, sink: sink, log: log, queue: make(chan outgoing, sendQueueSize)}
+	format := plainEnvelope{self: self, senders: map[netip.AddrPort]int{}}
 	for i, peer := range peers {
 		addr, err := net.ResolveUDPAddr("udp", peer)
 		if err != nil {
@@ -139,7 +139,7 @@
 func (transport *Transport) Tell(instance int, data []byte) {
 	if instance == policy.Broadcast && transport.broadcastAddr == nil {
 		for i := range transport.addrs {
-			if i != transport.me {
+			if i != transport.self {
 				transport.Tell(i, data)
 			}
 		}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -48,8 +48,8 @@
 	}
 	defer tap.Close()
 	key := bytes.Repeat([]byte{7}, 32)
-	open := func(me int, addrs ...string) (*Transport, *messageRecorder) {
-		cfg := &config.Config{Me: me, PeerKey: key}
+	open := func(self int, addrs ...string) (*Transport, *messageRecorder) {
+		cfg := &config.Config{Me: self, PeerKey: key}
 		for i, addr := range addrs {
 			cfg.Instances = append(cfg.Instances, config.Instance{Number: i, Peer: addr})
 		}
@@ -102,11 +102,11 @@
 		return conn
 	}
 	other, third, broadcast, stranger, mine := socket(), socket(), socket(), socket(), socket()
-	me := mine.LocalAddr().String()
+	self := mine.LocalAddr().String()
 	mine.Close()
 	got := &messageRecorder{}
-	peers := []string{other.LocalAddr().String(), me, third.LocalAddr().String()}
-	transport, err := OpenPlain(me, peers, broadcast.LocalAddr().String(), 1, got, zerolog.Nop())
+	peers := []string{other.LocalAddr().String(), self, third.LocalAddr().String()}
+	transport, err := OpenPlain(self, peers, broadcast.LocalAddr().String(), 1, got, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,7 +135,7 @@
 		t.Helper()
 		buf := make([]byte, 1000)
 		_ = conn.SetReadDeadline(time.Now().Add(20 * time.Second))
-		if n, from, err := conn.ReadFromUDP(buf); err != nil || string(buf[:n]) != want || from.String() != me {
+		if n, from, err := conn.ReadFromUDP(buf); err != nil || string(buf[:n]) != want || from.String() != self {
 			t.Errorf("got %q from %v, %v, want %q", buf[:n], from, err, want)
 		}
 	}
@@ -145,7 +145,7 @@
 	expect(broadcast, "all")
 	transport.Tell(0, bytes.Repeat([]byte{'m'}, MaxPlainMessage+1))
 	waitFor(t, func() bool { return transport.Counts().Unsent == 1 })
-	for _, bad := range [][2]string{{"x", ""}, {me, "x"}} {
+	for _, bad := range [][2]string{{"x", ""}, {self, "x"}} {
 		if _, err := OpenPlain(bad[0], peers, bad[1], 1, got, zerolog.Nop()); err == nil {
 			t.Errorf("the addresses %q are accepted", bad)
 		}
--- a/internal/peer/plain.go
+++ b/internal/peer/plain.go
@@ -10,7 +10,7 @@
 
 // plainEnvelope is the format for a network on which source addresses can be trusted: a datagram is the message itself.
 type plainEnvelope struct {
-	me      int
+	self    int
 	senders map[netip.AddrPort]int // instances by address
 }
 
@@ -32,7 +32,7 @@
 	switch {
 	case !known || len(datagram) > MaxPlainMessage:
 		return 0, nil, ErrForeign
-	case from == env.me:
+	case from == env.self:
 		return 0, nil, ErrMisdirected
 	}
 	return from, bytes.Clone(datagram), nil
--- a/internal/peer/seal.go
+++ b/internal/peer/seal.go
@@ -35,7 +35,7 @@
 var (
 	// ErrForeign means that the datagram was not sealed with the shared key, was altered, or is not in the expected format.
 	ErrForeign = errors.New("sealed with another key, altered, or not a datagram of this protocol")
-	// ErrReplayed means that the datagram was received before, or can't be told from such a one.
+	// ErrReplayed means that the datagram was received before, or may have been: it is of an earlier boot or behind the window.
 	ErrReplayed = errors.New("received before")
 	// ErrOld means that the datagram was sent longer ago than the clocks may differ.
 	ErrOld = errors.New("older than the maximum clock skew")
@@ -46,18 +46,18 @@
 // sealer encrypts and decrypts the datagrams of one instance. It is not safe for concurrent use.
 type sealer struct {
 	aead    cipher.AEAD
-	me      uint16
+	self    uint16
 	boot    uint64
 	counter uint64
 	windows []replayWindow // by sender
 }
 
-func newSealer(key []byte, me, instances int, boot uint64) (*sealer, error) {
+func newSealer(key []byte, self, instances int, boot uint64) (*sealer, error) {
 	aead, err := chacha20poly1305.NewX(key)
 	if err != nil {
 		return nil, fmt.Errorf("peer key: %w", err)
 	}
-	return &sealer{aead: aead, me: uint16(me), boot: boot, windows: make([]replayWindow, instances)}, nil
+	return &sealer{aead: aead, self: uint16(self), boot: boot, windows: make([]replayWindow, instances)}, nil
 }
 
 // nonce returns the header without its version, padded with zeros.
@@ -72,7 +72,7 @@
 	sl.counter++
 	header := make([]byte, headerSize, headerSize+timeSize+len(message)+sl.aead.Overhead())
 	header[0] = sealVersion
-	binary.BigEndian.PutUint16(header[1:], sl.me)
+	binary.BigEndian.PutUint16(header[1:], sl.self)
 	binary.BigEndian.PutUint16(header[3:], uint16(to))
 	binary.BigEndian.PutUint64(header[5:], sl.boot)
 	binary.BigEndian.PutUint64(header[13:], sl.counter)
@@ -91,7 +91,7 @@
 	if err != nil {
 		return 0, nil, ErrForeign
 	}
-	if binary.BigEndian.Uint16(datagram[3:]) != sl.me || from >= len(sl.windows) || from == int(sl.me) {
+	if binary.BigEndian.Uint16(datagram[3:]) != sl.self || from >= len(sl.windows) || from == int(sl.self) {
 		return 0, nil, ErrMisdirected
 	}
 	if ageNS := nowNS - int64(binary.BigEndian.Uint64(plaintext)); ageNS > maxClockSkewNS || ageNS < -maxClockSkewNS {
