--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -23,9 +23,9 @@
 
 // Core is told how attempts and probes end.
 type Core interface {
-	Done(results ...core.Result)   // under locks of the pool
-	Deliver(results []core.Result) // under none: what follows may be sent at once
-	Probed(p policy.ProbeResult)
+	QueueResults(results ...core.Result) // under locks of the pool
+	HandleResults(results []core.Result) // under none: what follows may be sent at once
+	QueueProbeResult(p policy.ProbeResult)
 }
 
 // Dialect is how boxes are spoken to and what their answers mean. It has no state and is safe for concurrent use.
@@ -38,24 +38,24 @@
 	AppendProbe(dst []byte) []byte
 	// Reply reads the answer to an attempt. Spoilt tells that it is none: the attempt may have run, and the
 	// connection can't be trusted. The result's payload must not point into the reply.
-	Reply(reply []byte) (r core.Result, spoilt bool)
+	ParseReply(reply []byte) (r core.Result, spoilt bool)
 	// Load reads the answer to a probe; nil if it tells nothing.
-	Load(reply []byte) *policy.Load
+	ParseLoad(reply []byte) *policy.Load
 	// Limits bound an answer.
 	Limits() resp.Limits
 }
 
 // Options are the settings of a Pool. Times are in seconds.
 type Options struct {
-	Dialect     Dialect
-	Connections int           // to one box at once, 1 at least
-	Total       int           // to all boxes: they share it evenly, probes' connections aside; 0: not bounded
-	Pipeline    int           // attempts on one connection at once, 1 at least
-	Connect     time.Duration // until a connection stands
-	RestS       float64       // see links.Limits
-	IdleS       float64       // see links.Limits; 0: connections stay
-	Strict      bool          // a probe's connection is closed for an answer that nobody awaits
-	Loops       int           // event loops, 1 at least
+	Dialect             Dialect
+	Connections         int           // to one box at once, 1 at least
+	MaxTotalConnections int           // to all boxes: they share it evenly, probes' connections aside; 0: not bounded
+	Pipeline            int           // attempts on one connection at once, 1 at least
+	ConnectTimeout      time.Duration // until a connection stands
+	ReuseDelayS         float64       // see links.Limits
+	IdleTimeoutS        float64       // see links.Limits; 0: connections stay
+	StrictProbes        bool          // a probe's connection is closed for an answer that nobody awaits
+	Loops               int           // event loops, 1 at least
 	// DialContext opens a connection; nil: by TCP.
 	DialContext func(ctx context.Context, network, addr string) (net.Conn, error)
 	Log         zerolog.Logger
@@ -64,9 +64,9 @@
 // Counts are totals since the start.
 type Counts struct {
 	Dials, DialsFailed uint64 // connections asked for, and not had
-	Broken             uint64 // attempts whose connection was lost
-	Late               uint64 // answers to attempts that had ended
-	Open               int64
+	AttemptsBroken     uint64 // attempts whose connection was lost
+	LateReplies        uint64 // answers to attempts that had ended
+	OpenConnections    int64
 }
 
 // Pool holds the connections to all boxes.
@@ -108,7 +108,7 @@
 		cancel()
 		return nil, fmt.Errorf("connections to the boxes: %w", err)
 	}
-	if opt.IdleS > 0 {
+	if opt.IdleTimeoutS > 0 {
 		p.work.Add(1)
 		go p.sweep()
 	}
@@ -130,7 +130,7 @@
 		for _, b := range p.boxes {
 			b.mu.Lock()
 			b.conns.Sweep(p.now())
-			if b.probe != nil && b.probing == nil && p.now()-b.probe.usedAt > p.opt.IdleS {
+			if b.probe != nil && b.probing == nil && p.now()-b.probe.usedAt > p.opt.IdleTimeoutS {
 				b.probe.c.Close()
 			}
 			b.mu.Unlock()
@@ -152,9 +152,9 @@
 	}
 }
 
-// Located tells where boxes are reached whose names are not their addresses. It comes before Servers lists them, and
+// SetAddresses tells where boxes are reached whose names are not their addresses. It comes before Servers lists them, and
 // lasts until they are gone. A box that moves is reached at its new address by connections to come.
-func (p *Pool) Located(addr map[string]string) {
+func (p *Pool) SetAddresses(addr map[string]string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for name, a := range addr {
@@ -194,9 +194,9 @@
 	return p.boxes[addr]
 }
 
-// Servers takes in the list of boxes. What is out at one that is gone ends as it will; its connections are
+// UpdateServers takes in the list of boxes. What is out at one that is gone ends as it will; its connections are
 // closed once they are idle.
-func (p *Pool) Servers(list []policy.Server, whole bool) {
+func (p *Pool) UpdateServers(list []policy.Server, whole bool) {
 	p.mu.Lock()
 	listed := map[string]bool{}
 	for _, s := range list {
@@ -209,8 +209,8 @@
 		listed[s.ID] = true
 		if b := p.boxes[s.ID]; b == nil {
 			b = &box{pool: p, name: s.ID, addr: cmp.Or(p.located[s.ID], s.ID)}
-			b.conns = links.New(links.Limits{Connections: p.opt.Connections, Pipeline: p.opt.Pipeline, RestS: p.opt.RestS,
-				IdleS: p.opt.IdleS}, (*effects)(b))
+			b.conns = links.New(links.Limits{Connections: p.opt.Connections, Pipeline: p.opt.Pipeline, ReuseDelayS: p.opt.ReuseDelayS,
+				IdleTimeoutS: p.opt.IdleTimeoutS}, (*effects)(b))
 			p.boxes[s.ID] = b
 		}
 		b := p.boxes[s.ID]
@@ -228,8 +228,8 @@
 		}
 	}
 	p.forget()
-	if p.opt.Total > 0 {
-		part := min(p.opt.Connections, max(1, p.opt.Total/max(1, len(p.boxes))))
+	if p.opt.MaxTotalConnections > 0 {
+		part := min(p.opt.Connections, max(1, p.opt.MaxTotalConnections/max(1, len(p.boxes))))
 		for _, b := range p.boxes {
 			b.mu.Lock()
 			b.conns.Bound(part)
@@ -240,10 +240,10 @@
 }
 
 // Send starts an attempt. It is not written any more once its time to begin is over.
-func (p *Pool) Send(a core.Attempt, name string, payload []byte, timing policy.Timing) {
+func (p *Pool) Send(a core.AttemptID, name string, payload []byte, timing policy.Timing) {
 	b := p.box(name)
 	if b == nil {
-		p.core.Done(core.Result{Attempt: a, Status: policy.ConnectFailed})
+		p.core.QueueResults(core.Result{Attempt: a, Status: policy.ConnectFailed})
 		return
 	}
 	b.mu.Lock()
@@ -253,7 +253,7 @@
 }
 
 // Cancel gives an attempt up.
-func (p *Pool) Cancel(a core.Attempt, addr string) {
+func (p *Pool) Cancel(a core.AttemptID, addr string) {
 	if b := p.box(addr); b != nil {
 		b.mu.Lock()
 		defer b.mu.Unlock()
@@ -262,7 +262,7 @@
 }
 
 // Withdraw takes back an attempt that was not written; it ends as policy.Moot.
-func (p *Pool) Withdraw(a core.Attempt, addr string) {
+func (p *Pool) Withdraw(a core.AttemptID, addr string) {
 	if b := p.box(addr); b != nil {
 		b.mu.Lock()
 		defer b.mu.Unlock()
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -28,13 +28,13 @@
 	probes  chan policy.ProbeResult
 }
 
-func (s *sink) Done(r ...core.Result) {
+func (s *sink) QueueResults(r ...core.Result) {
 	for _, x := range r {
 		s.results <- x
 	}
 }
-func (s *sink) Deliver(list []core.Result)  { s.Done(list...) }
-func (s *sink) Probed(p policy.ProbeResult) { s.probes <- p }
+func (s *sink) HandleResults(list []core.Result)      { s.QueueResults(list...) }
+func (s *sink) QueueProbeResult(p policy.ProbeResult) { s.probes <- p }
 
 // box is a listener whose connections are served by the test: each command that comes is handed to it.
 type peerBox struct {
@@ -76,7 +76,7 @@
 	var buf []byte
 	chunk := make([]byte, 4096)
 	for {
-		args, n, _, err := resp.Command(buf, nil, resp.DefaultLimits)
+		args, n, _, err := resp.ParseCommand(buf, nil, resp.DefaultLimits)
 		if err != nil {
 			m, err := c.Read(chunk)
 			if err != nil {
@@ -113,7 +113,7 @@
 func setup(t *testing.T, change func(*Options), addrs ...string) (*Pool, *sink) {
 	t.Helper()
 	s := &sink{make(chan core.Result, 1000), make(chan policy.ProbeResult, 100)}
-	o := Options{Dialect: Boxes{Name: "t"}, Connections: 2, Pipeline: 2, Connect: 5 * time.Second, Loops: 1, Log: zerolog.Nop()}
+	o := Options{Dialect: RESP{Name: "t"}, Connections: 2, Pipeline: 2, ConnectTimeout: 5 * time.Second, Loops: 1, Log: zerolog.Nop()}
 	if change != nil {
 		change(&o)
 	}
@@ -125,7 +125,7 @@
 	for _, a := range addrs {
 		list = append(list, policy.Server{ID: a})
 	}
-	p.Servers(list, true)
+	p.UpdateServers(list, true)
 	t.Cleanup(p.Stop)
 	return p, s
 }
@@ -134,8 +134,8 @@
 	t.Helper()
 	select {
 	case r := <-s.results:
-		if r.Attempt.N != n || r.Status != status || string(r.Payload) != payload {
-			t.Fatalf("attempt %d ended as %d with %q, want attempt %d, %d, %q", r.Attempt.N, r.Status, r.Payload, n, status, payload)
+		if r.Attempt.Index != n || r.Status != status || string(r.Payload) != payload {
+			t.Fatalf("attempt %d ended as %d with %q, want attempt %d, %d, %q", r.Attempt.Index, r.Status, r.Payload, n, status, payload)
 		}
 		return r
 	case <-time.After(20 * time.Second):
@@ -145,9 +145,9 @@
 }
 
 // within is the timing of an attempt that may be begun, and answered, for so many seconds.
-func within(s float64) policy.Timing { return policy.Timing{StartS: s, AnswerS: s} }
+func within(s float64) policy.Timing { return policy.Timing{StartWithinS: s, AnswerWithinS: s} }
 
-func attempt(n int) core.Attempt { return core.Attempt{N: n} }
+func attempt(n int) core.AttemptID { return core.AttemptID{Index: n} }
 
 func do(n int) []byte { return resp.AppendCommand(nil, "DO", fmt.Sprint(n)) }
 
@@ -157,8 +157,8 @@
 	for i, c := range []struct {
 		reply  string
 		status policy.Status
-	}{{"+OK\r\n", policy.OK}, {"*2\r\n:1\r\n$1\r\nx\r\n", policy.OK}, {"-ERR no such job\r\n", policy.OK}, {"-BUSY full\r\n", policy.Full},
-		{"-LOADING\r\n", policy.Full}, {"-TRYAGAIN later\r\n", policy.Error}, {"-INTERNAL oops\r\n", policy.Error}} {
+	}{{"+OK\r\n", policy.OK}, {"*2\r\n:1\r\n$1\r\nx\r\n", policy.OK}, {"-ERR no such job\r\n", policy.OK}, {"-BUSY full\r\n", policy.Rejected},
+		{"-LOADING\r\n", policy.Rejected}, {"-TRYAGAIN later\r\n", policy.Error}, {"-INTERNAL oops\r\n", policy.Error}} {
 		p.Send(attempt(i), b.ln.Addr().String(), do(i), within(10))
 		k := b.next(t)
 		_, _ = k.c.Write([]byte(c.reply))
@@ -187,15 +187,15 @@
 		t.Fatalf("%d connections, want 2: %v", len(conns), conns)
 	}
 	p.Send(attempt(4), addr, do(4), within(10))
-	s.expect(t, 4, policy.Full, "")
+	s.expect(t, 4, policy.Rejected, "")
 	for c, list := range conns {
 		for _, n := range list {
 			_, _ = c.Write([]byte("+" + n + "\r\n"))
 		}
 	}
 	for range 4 {
-		if r := <-s.results; string(r.Payload) != fmt.Sprintf("+%d\r\n", r.Attempt.N) {
-			t.Fatalf("attempt %d got %q", r.Attempt.N, r.Payload)
+		if r := <-s.results; string(r.Payload) != fmt.Sprintf("+%d\r\n", r.Attempt.Index) {
+			t.Fatalf("attempt %d got %q", r.Attempt.Index, r.Payload)
 		}
 	}
 }
@@ -226,11 +226,11 @@
 	b.next(t)
 	p.Cancel(attempt(0), addr)
 	p.Send(attempt(2), addr, do(2), within(10)) // the only connection is held up by the one given up
-	s.expect(t, 2, policy.Full, "")
+	s.expect(t, 2, policy.Rejected, "")
 	_, _ = k.c.Write([]byte("+zero\r\n+one\r\n"))
 	s.expect(t, 1, policy.OK, "+one\r\n")
-	if p.Counts().Late != 1 {
-		t.Errorf("%d late, want 1", p.Counts().Late)
+	if p.Counts().LateReplies != 1 {
+		t.Errorf("%d late, want 1", p.Counts().LateReplies)
 	}
 	p.Send(attempt(3), addr, do(3), within(10)) // and is free again
 	k = b.next(t)
@@ -247,7 +247,7 @@
 	k := b.next(t)
 	p.Cancel(attempt(0), addr)
 	_ = k.c.SetReadDeadline(time.Now().Add(20 * time.Second))
-	for end := time.Now().Add(20 * time.Second); p.Counts().Open > 0; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); p.Counts().OpenConnections > 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the connection stays open")
 		}
@@ -258,7 +258,7 @@
 func TestProbes(t *testing.T) {
 	b := newPeerBox(t)
 	addr := b.ln.Addr().String()
-	p, s := setup(t, func(o *Options) { o.Connect = 200 * time.Millisecond }, addr)
+	p, s := setup(t, func(o *Options) { o.ConnectTimeout = 200 * time.Millisecond }, addr)
 	p.Probe(addr)
 	k := b.next(t)
 	if strings.Join(k.words, " ") != "INFO" {
@@ -274,7 +274,7 @@
 		t.Fatalf("%+v", r)
 	}
 	b.ln.Close()
-	for end := time.Now().Add(20 * time.Second); p.Counts().Open > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(20 * time.Second); p.Counts().OpenConnections > 0 && time.Now().Before(end); {
 		time.Sleep(5 * time.Millisecond)
 	}
 	p.Probe(addr)
@@ -287,7 +287,7 @@
 func TestLoadWithAnswers(t *testing.T) {
 	b := newPeerBox(t)
 	addr := b.ln.Addr().String()
-	p, s := setup(t, func(o *Options) { o.Dialect = Boxes{Name: "t", ByAnswer: true} }, addr)
+	p, s := setup(t, func(o *Options) { o.Dialect = RESP{Name: "t", LoadInReplies: true} }, addr)
 	p.Send(attempt(0), addr, do(0), within(10))
 	_, _ = b.next(t).c.Write([]byte("|1\r\n+util\r\n,0.5\r\n+OK\r\n"))
 	if r := s.expect(t, 0, policy.OK, "+OK\r\n"); r.Load == nil || r.Load.Util != 0.5 {
@@ -302,10 +302,10 @@
 	p, s := setup(t, nil, addr)
 	p.Send(attempt(0), addr, do(0), within(10))
 	k := b.next(t)
-	p.Servers(nil, true)
+	p.UpdateServers(nil, true)
 	_, _ = k.c.Write([]byte("+OK\r\n"))
 	s.expect(t, 0, policy.OK, "+OK\r\n")
-	for end := time.Now().Add(20 * time.Second); p.Counts().Open > 0; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); p.Counts().OpenConnections > 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the connection stays open")
 		}
@@ -324,7 +324,7 @@
 		for n := range 100 {
 			list = append(list, policy.Server{ID: fmt.Sprintf("127.1.%d.%d:1", i, n)})
 		}
-		p.Servers(list, true)
+		p.UpdateServers(list, true)
 	}
 	p.mu.Lock()
 	kept := len(p.boxes)
@@ -357,11 +357,11 @@
 	p, s := setup(t, func(o *Options) { o.DialContext = d.dial }, addr)
 	p.Send(attempt(0), addr, do(0), within(10))
 	p.Withdraw(attempt(0), addr)
-	s.expect(t, 0, policy.Moot, "")
+	s.expect(t, 0, policy.NotSent, "")
 	p.Send(attempt(1), addr, do(1), within(10))
 	p.Cancel(attempt(1), addr)
 	close(d.let)
-	until(t, "the connections stand", func() bool { return p.Counts().Open == 2 })
+	until(t, "the connections stand", func() bool { return p.Counts().OpenConnections == 2 })
 	p.Send(attempt(2), addr, do(2), within(10))
 	k := b.next(t)
 	if k.words[1] != "2" {
@@ -420,7 +420,7 @@
 }
 
 // bare is a dialect that sends payloads as they are and greets nobody.
-type bare struct{ Boxes }
+type bare struct{ RESP }
 
 func (bare) Greeting() ([]byte, int) { return nil, 0 }
 
@@ -482,7 +482,7 @@
 	if got += int(rest); got >= len(large) {
 		t.Errorf("the box got all %d bytes of what was given up", got)
 	}
-	until(t, "its connection is closed", func() bool { return p.Counts().Open == 0 })
+	until(t, "its connection is closed", func() bool { return p.Counts().OpenConnections == 0 })
 }
 
 // A box that moves while a connection to it is being opened, and with one open: nothing goes where it was.
@@ -490,15 +490,15 @@
 	old, now := newPeerBox(t), newPeerBox(t)
 	d := &lateDial{make(chan struct{})}
 	p, s := setup(t, func(o *Options) { o.DialContext = d.dial })
-	p.Located(map[string]string{"box": old.ln.Addr().String()})
-	p.Servers([]policy.Server{{ID: "box"}}, true)
+	p.SetAddresses(map[string]string{"box": old.ln.Addr().String()})
+	p.UpdateServers([]policy.Server{{ID: "box"}}, true)
 	p.Send(attempt(0), "box", do(0), within(20))
-	p.Located(map[string]string{"box": now.ln.Addr().String()})
+	p.SetAddresses(map[string]string{"box": now.ln.Addr().String()})
 	close(d.let)
 	k := now.next(t)
 	_, _ = k.c.Write([]byte("+OK\r\n"))
 	s.expect(t, 0, policy.OK, "+OK\r\n")
-	p.Located(map[string]string{"box": old.ln.Addr().String()})
+	p.SetAddresses(map[string]string{"box": old.ln.Addr().String()})
 	p.Send(attempt(1), "box", do(1), within(20))
 	k = old.next(t)
 	_, _ = k.c.Write([]byte("+OK\r\n"))
@@ -514,10 +514,10 @@
 	addr := b.ln.Addr().String()
 	d := &lateDial{make(chan struct{})}
 	p, s := setup(t, func(o *Options) { o.DialContext = d.dial }, addr)
-	p.Send(attempt(0), addr, do(0), policy.Timing{StartS: 0.05, AnswerS: 20})
+	p.Send(attempt(0), addr, do(0), policy.Timing{StartWithinS: 0.05, AnswerWithinS: 20})
 	time.Sleep(100 * time.Millisecond)
 	close(d.let)
-	s.expect(t, 0, policy.Moot, "")
+	s.expect(t, 0, policy.NotSent, "")
 	if len(b.got) != 0 {
 		t.Error("the box got what could not begin any more")
 	}
--- a/internal/backend/box.go
+++ b/internal/backend/box.go
@@ -27,22 +27,22 @@
 	}
 }
 
-// Held is what the connections to one box carry.
-type Held struct {
+// ConnectionStats is what the connections to one box carry.
+type ConnectionStats struct {
 	Connections, Idle int // open, and with nothing out
-	Out               int // attempts without an end
-	GivenUp           int // attempts given up whose connection still stands
+	InFlight          int // attempts without an end
+	Cancelled         int // attempts given up whose connection still stands
 }
 
-// Held tells what the connections to each box carry now.
-func (p *Pool) Held() map[string]Held {
+// ConnectionStats tells what the connections to each box carry now.
+func (p *Pool) ConnectionStats() map[string]ConnectionStats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	all := make(map[string]Held, len(p.boxes))
+	all := make(map[string]ConnectionStats, len(p.boxes))
 	for name, b := range p.boxes {
 		b.mu.Lock()
 		open, idle, dead := b.conns.Links()
-		all[name] = Held{open, idle, b.conns.Out(), dead}
+		all[name] = ConnectionStats{open, idle, b.conns.Out(), dead}
 		b.mu.Unlock()
 	}
 	return all
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -15,7 +15,7 @@
 	addr := b.addr
 	go func() {
 		defer p.work.Done()
-		ctx, cancel := context.WithTimeout(p.ctx, p.opt.Connect)
+		ctx, cancel := context.WithTimeout(p.ctx, p.opt.ConnectTimeout)
 		defer cancel()
 		l := &link{box: b, probe: probe, addr: addr}
 		if err := syserr.Retry(ctx, syserr.Local, func() error { return p.connect(ctx, l) }); err != nil {
@@ -39,7 +39,7 @@
 func (b *box) dialFailed(probe bool, err error) {
 	status := policy.ConnectFailed
 	if syserr.Local(err) {
-		status = policy.Moot
+		status = policy.NotSent
 	}
 	if probe {
 		b.probed(status, nil)
--- a/internal/backend/link.go
+++ b/internal/backend/link.go
@@ -26,7 +26,7 @@
 
 // outgoing is an attempt on its way to the socket.
 type outgoing struct {
-	attempt core.Attempt
+	attempt core.AttemptID
 	payload []byte
 }
 
@@ -36,7 +36,7 @@
 func (e *effects) Dial() { (*box)(e).dial(false) }
 
 // Write and Close go through the connection's event loop. OnClose tells what became of the attempts on a connection.
-func (e *effects) Write(l *links.Link, a core.Attempt, payload []byte) {
+func (e *effects) Write(l *links.Link, a core.AttemptID, payload []byte) {
 	k := l.Conn.(*link)
 	if k.out = append(k.out, outgoing{a, payload}); len(k.out) == 1 {
 		_ = k.c.Loop().Execute(k.flush) // an error means that the loops end, and OnClose is next
@@ -54,7 +54,7 @@
 	l.out = nil
 	var buf []byte
 	p, now := b.pool, b.pool.now()
-	if l.state == nil || !l.closed && p.opt.RestS > 0 && l.c.Unread() && b.conns.Stale(now, l.state, len(list)) {
+	if l.state == nil || !l.closed && p.opt.ReuseDelayS > 0 && l.c.HasUnread() && b.conns.Stale(now, l.state, len(list)) {
 		b.mu.Unlock()
 		return
 	}
@@ -71,11 +71,11 @@
 	}
 }
 
-func (e *effects) End(a core.Attempt, status policy.Status) {
+func (e *effects) End(a core.AttemptID, status policy.Status) {
 	if status == policy.Reset {
 		e.pool.broken.Add(1)
 	}
-	e.pool.core.Done(core.Result{Attempt: a, Status: status})
+	e.pool.core.QueueResults(core.Result{Attempt: a, Status: status})
 }
 
 // OnOpen puts a new connection to use.
@@ -123,7 +123,7 @@
 	used, act := 0, eventloop.None
 	var results []core.Result
 	for used < len(buf) {
-		n, need, err := resp.ReplyNeed(buf[used:], p.lim)
+		n, need, err := resp.ScanReply(buf[used:], p.lim)
 		if err == resp.ErrIncomplete {
 			l.need = need
 			break
@@ -138,13 +138,13 @@
 			continue // pushed out of turn: no answer to anything
 		}
 		if l.probe {
-			if l.greets--; l.greets < 0 && !l.box.probed(policy.OK, p.opt.Dialect.Load(reply)) && p.opt.Strict {
+			if l.greets--; l.greets < 0 && !l.box.probed(policy.OK, p.opt.Dialect.ParseLoad(reply)) && p.opt.StrictProbes {
 				act = eventloop.Close
 				break
 			}
 			continue
 		}
-		r, spoilt := p.opt.Dialect.Reply(reply)
+		r, spoilt := p.opt.Dialect.ParseReply(reply)
 		if spoilt {
 			p.opt.Log.Warn().Str("box", l.box.name).Msg("answer of a box can't be used")
 			act = eventloop.Close // which ends what is out here
@@ -169,9 +169,9 @@
 	if act == eventloop.Close {
 		used = len(buf)
 	}
-	l.in = resp.Rest(l.in, buf, used, l.need)
+	l.in = resp.Unprocessed(l.in, buf, used, l.need)
 	if len(results) > 0 {
-		p.core.Deliver(results)
+		p.core.HandleResults(results)
 	}
 	return act
 }
--- a/internal/backend/probe.go
+++ b/internal/backend/probe.go
@@ -15,7 +15,7 @@
 func (p *Pool) Probe(addr string) {
 	b := p.box(addr)
 	if b == nil {
-		p.core.Probed(policy.ProbeResult{Server: addr, Status: policy.ConnectFailed})
+		p.core.QueueProbeResult(policy.ProbeResult{Server: addr, Status: policy.ConnectFailed})
 		return
 	}
 	b.mu.Lock()
@@ -26,7 +26,7 @@
 	pr := &probe{at: time.Now()}
 	b.probing = pr
 	p.work.Add(1)
-	pr.timer = time.AfterFunc(2*p.opt.Connect, func() {
+	pr.timer = time.AfterFunc(2*p.opt.ConnectTimeout, func() {
 		defer p.work.Done()
 		b.mu.Lock()
 		if b.probing != pr {
@@ -60,6 +60,6 @@
 	if pr.timer.Stop() {
 		b.pool.work.Done()
 	}
-	b.pool.core.Probed(policy.ProbeResult{Server: b.name, Status: status, SpentS: time.Since(pr.at).Seconds(), Load: load})
+	b.pool.core.QueueProbeResult(policy.ProbeResult{Server: b.name, Status: status, ElapsedS: time.Since(pr.at).Seconds(), Load: load})
 	return true
 }
--- a/internal/backend/reply.go
+++ b/internal/backend/reply.go
@@ -10,26 +10,26 @@
 	"cometpond/policy"
 )
 
-// Boxes is the dialect of plain RESP boxes: they are greeted with this instance's name, answer INFO with their load,
+// RESP is the dialect of plain RESP boxes: they are greeted with this instance's name, answer INFO with their load,
 // and any answer but an error that boxes give to all is the client's.
-type Boxes struct {
-	Name     string // this instance's, by CLIENT SETNAME
-	ByAnswer bool   // load rides on answers as an attribute, which version 3 alone has
+type RESP struct {
+	Name          string // this instance's, by CLIENT SETNAME
+	LoadInReplies bool   // load rides on answers as an attribute, which version 3 alone has
 }
 
 // mostReply bounds one string of an answer, bytes.
 const mostReply = 8 << 20
 
 // Limits are wide: what a box answers is its own affair.
-func (Boxes) Limits() resp.Limits {
+func (RESP) Limits() resp.Limits {
 	lim := resp.DefaultLimits
 	lim.Bulk, lim.Args = mostReply, 1<<16
 	return lim
 }
 
 // Greeting names this instance.
-func (d Boxes) Greeting() (commands []byte, answers int) {
-	if d.ByAnswer {
+func (d RESP) Greeting() (commands []byte, answers int) {
+	if d.LoadInReplies {
 		commands = resp.AppendCommand(commands, "HELLO", "3")
 		answers++
 	}
@@ -37,7 +37,7 @@
 }
 
 // AppendAttempt appends the client's command as it came. Alone it is not copied: it may be large.
-func (Boxes) AppendAttempt(dst, payload []byte, _ float64) []byte {
+func (RESP) AppendAttempt(dst, payload []byte, _ float64) []byte {
 	if len(dst) == 0 {
 		return payload[:len(payload):len(payload)] // so that what is appended to it goes elsewhere
 	}
@@ -45,14 +45,14 @@
 }
 
 // AppendProbe asks for INFO.
-func (Boxes) AppendProbe(dst []byte) []byte { return resp.AppendCommand(dst, "INFO") }
+func (RESP) AppendProbe(dst []byte) []byte { return resp.AppendCommand(dst, "INFO") }
 
-// Reply judges an answer and takes the load that rides on it.
-func (d Boxes) Reply(reply []byte) (r core.Result, spoilt bool) {
+// ParseReply judges an answer and takes the load that rides on it.
+func (d RESP) ParseReply(reply []byte) (r core.Result, spoilt bool) {
 	lim := d.Limits()
 	attr, body := resp.SplitAttribute(reply, lim)
 	if attr != nil {
-		r.Load = pairsLoad(resp.Strings(attr, lim))
+		r.Load = pairsLoad(resp.ElementTexts(attr, lim))
 	}
 	if r.Status = judge(body); r.Status == policy.OK {
 		r.Payload = bytes.Clone(body)
@@ -60,8 +60,8 @@
 	return r, false
 }
 
-// Load reads INFO's text.
-func (d Boxes) Load(reply []byte) *policy.Load { return parseLoad(resp.Text(reply, d.Limits())) }
+// ParseLoad reads INFO's text.
+func (d RESP) ParseLoad(reply []byte) *policy.Load { return parseLoad(resp.Text(reply, d.Limits())) }
 
 // judge tells what a reply proves. Errors with which boxes turn work away unseen never ran. Errors of the
 // box itself may have run. Words on which client libraries repeat a command by themselves are never passed
@@ -76,12 +76,12 @@
 	}
 	switch string(word) {
 	case "BUSY", "LOADING", "OOM":
-		return policy.Full
+		return policy.Rejected
 	case "INTERNAL", "TRYAGAIN", "CLUSTERDOWN", "MASTERDOWN", "READONLY", "MOVED", "ASK", "NOREPLICAS", "UNKILLABLE":
 		return policy.Error
 	}
 	if bytes.HasPrefix(reply, []byte("-ERR max number of clients")) {
-		return policy.Full
+		return policy.Rejected
 	}
 	return policy.OK
 }
--- a/internal/backend/wire_test.go
+++ b/internal/backend/wire_test.go
@@ -34,7 +34,9 @@
 	for _, byAnswer := range []bool{false, true} { // RESP 2 and 3
 		b := newPeerBox(t)
 		addr := b.ln.Addr().String()
-		p, s := setup(t, func(o *Options) { o.Connections, o.Pipeline, o.Dialect = 1, 100, Boxes{Name: "t", ByAnswer: byAnswer} }, addr)
+		p, s := setup(t, func(o *Options) {
+			o.Connections, o.Pipeline, o.Dialect = 1, 100, RESP{Name: "t", LoadInReplies: byAnswer}
+		}, addr)
 		run := ""
 		for _, r := range replies {
 			run += r.text
--- a/internal/edge/config.go
+++ b/internal/edge/config.go
@@ -95,7 +95,7 @@
 			return nil, fmt.Errorf("%s: %w", field.name, err)
 		}
 	}
-	if cfg.Settings.Peers && cfg.Settings.Gateways > 1 {
+	if cfg.Settings.PeerMessages && cfg.Settings.Gateways > 1 {
 		if err := endpoints.CheckAddress(cfg.PeerListen); err != nil {
 			return nil, fmt.Errorf("peer_listen: %w", err)
 		}
@@ -128,7 +128,7 @@
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
-	if err := cfg.Settings.Check(); err != nil {
+	if err := cfg.Settings.Validate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	return cfg, nil
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -30,7 +30,7 @@
 	log       zerolog.Logger
 	clock     core.Clock
 	loop      *core.Loop
-	pauses    *core.Stalls
+	pauses    *core.PauseMonitor
 	pool      *backend.Pool
 	peers     *peer.Transport
 	discovery *endpoints.Client
@@ -123,7 +123,7 @@
 	var cfg *Config
 	loadCtx, cancel := context.WithTimeout(ctx, loadRetryPeriod)
 	defer cancel()
-	err := syserr.Retry(loadCtx, syserr.Storage, func() (err error) {
+	err := syserr.Retry(loadCtx, syserr.StorageRetryable, func() (err error) {
 		cfg, err = Load(getenv)
 		return err
 	})
@@ -154,11 +154,11 @@
 	if ingress.loop, err = core.NewLoop(cfg.Settings.Settings, cfg.Seed, ingress.clock); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	ingress.loop.Bound(budget.OpenRequests)
+	ingress.loop.SetMaxRequests(budget.OpenRequests)
 	if cfg.Trace {
 		ingress.loop.Observe(traceRequests(log))
 	}
-	ingress.pauses = core.NewStalls(ingress.clock)
+	ingress.pauses = core.NewPauseMonitor(ingress.clock)
 	ingress.pool, err = backend.New(ingress.loop, poolOptions(cfg, budget, log.With().Str("part", "backend").Logger()))
 	if err != nil {
 		return nil, err
@@ -172,8 +172,8 @@
 		}
 	}()
 	var peers core.Peers
-	if cfg.Settings.Peers && cfg.Settings.Gateways > 1 {
-		ingress.peers, err = peer.OpenPlain(cfg.PeerListen, cfg.PeerAddrs, cfg.PeerBroadcastAddr, cfg.Settings.Me, ingress.loop,
+	if cfg.Settings.PeerMessages && cfg.Settings.Gateways > 1 {
+		ingress.peers, err = peer.OpenPlain(cfg.PeerListen, cfg.PeerAddrs, cfg.PeerBroadcastAddr, cfg.Settings.Self, ingress.loop,
 			log.With().Str("part", "peer").Logger())
 		if err != nil {
 			close(ingress.loopDone)
@@ -201,8 +201,8 @@
 		log.Warn().Str("discovery", cfg.Discovery).Msg("no list of servers from discovery yet; refusing all requests until one arrives")
 	}
 	commands := svc.NewClientProtocol(svc.NewCommandParser(cfg.Settings.Settings))
-	ingress.front, err = front.Start(ingress.loop, front.Options{Listen: cfg.Listen, Loops: 1, Leavers: true, Bounds: budget.Front,
-		Crowd: budget.IdleConnections, Commands: commands, Age: ingress.pauses.Age, Log: log.With().Str("part", "front").Logger()})
+	ingress.front, err = front.Start(ingress.loop, front.Options{Listen: cfg.Listen, Loops: 1, CloseOnClientEOF: true, Limits: budget.Front,
+		IdleLimits: budget.IdleConnections, Handler: commands, InputAge: ingress.pauses.InputAge, Log: log.With().Str("part", "front").Logger()})
 	if err != nil {
 		return nil, err
 	}
@@ -220,8 +220,8 @@
 	if cfg.Trace {
 		protocol = &tracingProtocol{protocol, log}
 	}
-	return backend.Options{Dialect: protocol, Connections: limits.Connections, Total: budget.ServerConnections, Pipeline: limits.Pipeline,
-		RestS: limits.RestS, IdleS: limits.IdleS, Connect: time.Duration(dialTimeoutS * float64(time.Second)), Strict: true, Loops: 1, Log: log}
+	return backend.Options{Dialect: protocol, Connections: limits.Connections, MaxTotalConnections: budget.ServerConnections, Pipeline: limits.Pipeline,
+		ReuseDelayS: limits.ReuseDelayS, IdleTimeoutS: limits.IdleTimeoutS, ConnectTimeout: time.Duration(dialTimeoutS * float64(time.Second)), StrictProbes: true, Loops: 1, Log: log}
 }
 
 // goService runs a service on its own goroutine; closeAll waits until it returns.
@@ -239,9 +239,9 @@
 	if len(list.Servers) == 0 && !list.Full {
 		return
 	}
-	ingress.pool.Located(list.Addrs)
+	ingress.pool.SetAddresses(list.Addrs)
 	select {
-	case <-ingress.loop.Servers(list.Servers, list.Full):
+	case <-ingress.loop.UpdateServers(list.Servers, list.Full):
 	case <-ingress.loopDone:
 	}
 	if len(list.Servers) > 0 {
@@ -299,9 +299,9 @@
 	defer tick.Stop()
 	for range tick.C {
 		status := ingress.loop.Status()
-		step := shutdown.NextStep(ingress.clock.Now(), ingress.front.Open(), status.Held+status.Waiting)
+		step := shutdown.NextStep(ingress.clock.Now(), ingress.front.OpenConnections(), status.OpenRequests+status.QueuedCalls)
 		if step == plan.CloseIdle {
-			ingress.front.Retire()
+			ingress.front.CloseWhenIdle()
 		} else if step == plan.Exit {
 			break
 		}
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -29,12 +29,12 @@
 
 // platform is a set of servers and a discovery server on loopback.
 type platform struct {
-	discovery *standin.Roster
+	discovery *standin.PlatformDiscovery
 	servers   []*standin.PlatformBackend
 	hosts     []standin.PlatformHost
 }
 
-func newPlatform(t testing.TB, n int, answer func(c net.Conn, s standin.Served)) *platform {
+func newPlatform(t testing.TB, n int, answer func(c net.Conn, s standin.ReceivedCommand)) *platform {
 	t.Helper()
 	platform := &platform{}
 	for i := range n {
@@ -48,7 +48,7 @@
 			Site: "room-a", Health: "SERVING", Share: 1})
 	}
 	var err error
-	if platform.discovery, err = standin.NewRoster(platform.hosts...); err != nil {
+	if platform.discovery, err = standin.NewPlatformDiscovery(platform.hosts...); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(platform.discovery.Close)
--- a/internal/edge/endpoints/endpoints.go
+++ b/internal/edge/endpoints/endpoints.go
@@ -56,7 +56,7 @@
 	}
 	list := List{Version: *wire.Seq, Full: wire.Whole, Addrs: map[string]string{}}
 	for i, host := range wire.Hosts {
-		server := policy.Server{ID: host.Host, Zone: host.Site, Cell: host.Block, Weight: 1, SinceS: host.BornMS / 1000}
+		server := policy.Server{ID: host.Host, Zone: host.Site, Cell: host.Block, Weight: 1, StartedAt: host.BornMS / 1000}
 		if host.Share != nil {
 			server.Weight = *host.Share
 		}
@@ -186,10 +186,10 @@
 	for i := range list.Servers {
 		server := &list.Servers[i]
 		known, isKnown := poller.servers[server.ID]
-		if isKnown && older && !known.usable && server.State == policy.Up && server.SinceS <= known.startedAtS {
+		if isKnown && older && !known.usable && server.State == policy.Up && server.StartedAt <= known.startedAtS {
 			server.State = policy.Draining
 		}
-		poller.servers[server.ID] = knownServer{max(known.startedAtS, server.SinceS), server.State == policy.Up}
+		poller.servers[server.ID] = knownServer{max(known.startedAtS, server.StartedAt), server.State == policy.Up}
 	}
 	if len(poller.servers) > 2*maxHosts {
 		maps.DeleteFunc(poller.servers, func(_ string, known knownServer) bool { return !known.usable })
--- a/internal/edge/endpoints/endpoints_test.go
+++ b/internal/edge/endpoints/endpoints_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := policy.Server{ID: "s-1", Zone: "a", Cell: 3, State: policy.Up, Weight: 0.5, SinceS: 1.5}
+	want := policy.Server{ID: "s-1", Zone: "a", Cell: 3, State: policy.Up, Weight: 0.5, StartedAt: 1.5}
 	if l.Version != 41 || !l.Full || len(l.Servers) != 2 || l.Servers[0] != want || l.Servers[1].State != policy.Removed || l.Addrs["s-1"] != "10.1.0.18:6379" {
 		t.Fatalf("%+v", l)
 	}
@@ -160,8 +160,8 @@
 // A list with a lower version is applied, since discovery may have restarted its numbering. But it does not bring back a server
 // that drains or is removed, unless the server has restarted since.
 func TestLowerVersion(t *testing.T) {
-	at := func(id string, state policy.State, since float64) policy.Server {
-		return policy.Server{ID: id, State: state, SinceS: since}
+	at := func(id string, state policy.ServerState, since float64) policy.Server {
+		return policy.Server{ID: id, State: state, StartedAt: since}
 	}
 	states := func(list List) (text string) {
 		for _, server := range list.Servers {
@@ -220,9 +220,9 @@
 }
 
 // startDiscovery starts a discovery server with a list of hosts.
-func startDiscovery(t *testing.T, hosts ...standin.PlatformHost) *standin.Roster {
+func startDiscovery(t *testing.T, hosts ...standin.PlatformHost) *standin.PlatformDiscovery {
 	t.Helper()
-	discovery, err := standin.NewRoster(hosts...)
+	discovery, err := standin.NewPlatformDiscovery(hosts...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -258,7 +258,7 @@
 	first, second := startDiscovery(t, host("s-1")), startDiscovery(t, host("s-9"))
 	client, got := follow(t, first.Addr())
 	waitFor(t, "first list", func() bool { n, _ := got.last(); return n == 1 })
-	first.Set(host("s-1"), host("s-2"))
+	first.SetHosts(host("s-1"), host("s-2"))
 	waitFor(t, "the change", func() bool { _, l := got.last(); return len(l.Servers) == 2 })
 	client.SetAddress(second.Addr())
 	waitFor(t, "the list of the new address", func() bool { _, l := got.last(); return l.Full && len(l.Servers) == 1 && l.Servers[0].ID == "s-9" })
@@ -288,7 +288,7 @@
 		t.Run(name, func(t *testing.T) {
 			discovery := startDiscovery(t, host("s-1"))
 			n := 0
-			discovery.Spoil(func(w http.ResponseWriter, _ *http.Request) bool {
+			discovery.Intercept(func(w http.ResponseWriter, _ *http.Request) bool {
 				if n++; n <= 2 {
 					spoil(w)
 				}
@@ -338,7 +338,7 @@
 		},
 	} {
 		discovery := startDiscovery(t, host("s-2"))
-		discovery.Spoil(func(w http.ResponseWriter, _ *http.Request) bool { send(w); return true })
+		discovery.Intercept(func(w http.ResponseWriter, _ *http.Request) bool { send(w); return true })
 		_, received := follow(t, discovery.Addr())
 		waitFor(t, name, func() bool { _, l := received.last(); return len(l.Servers) == 1 && l.Servers[0].ID == "s-1" })
 	}
@@ -351,7 +351,7 @@
 	client, received := follow(t, discovery.Addr())
 	waitFor(t, "a long poll is open", func() bool { return len(discovery.Calls()) == 2 })
 	release := make(chan struct{})
-	discovery.Spoil(func(w http.ResponseWriter, req *http.Request) bool {
+	discovery.Intercept(func(w http.ResponseWriter, req *http.Request) bool {
 		if req.URL.RawQuery != "" {
 			<-release
 			fmt.Fprint(w, `{"seq":99,"whole":true,"hosts":[]}`)
@@ -359,7 +359,7 @@
 		}
 		return false
 	})
-	discovery.Set(host("s-1"), host("s-2"))
+	discovery.SetHosts(host("s-1"), host("s-2"))
 	waitFor(t, "another long poll is open", func() bool { return len(discovery.Calls()) == 3 })
 	client.SetAddress(discovery.Addr())
 	waitFor(t, "the full list is requested", func() bool { requests := discovery.Calls(); return len(requests) > 3 && requests[3] == "/api/targets" })
@@ -381,7 +381,7 @@
 	var mu sync.Mutex
 	var requestTimes []time.Time
 	down := true
-	discovery.Spoil(func(_ http.ResponseWriter, req *http.Request) bool {
+	discovery.Intercept(func(_ http.ResponseWriter, req *http.Request) bool {
 		mu.Lock()
 		requestTimes = append(requestTimes, time.Now())
 		silent := down
--- a/internal/edge/faults_test.go
+++ b/internal/edge/faults_test.go
@@ -210,7 +210,7 @@
 }
 
 // answerSlowly is a server's answer function that delays the answer, so that several requests are open at once.
-func answerSlowly(conn net.Conn, s standin.Served) {
+func answerSlowly(conn net.Conn, s standin.ReceivedCommand) {
 	time.Sleep(20 * time.Millisecond)
 	answerNow(conn, s)
 }
@@ -224,7 +224,7 @@
 
 // answerAndClose is a server's answer function that closes the connection after the answer, so that every request needs a new
 // connection.
-func answerAndClose(conn net.Conn, s standin.Served) {
+func answerAndClose(conn net.Conn, s standin.ReceivedCommand) {
 	answerSlowly(conn, s)
 	conn.Close()
 }
@@ -293,7 +293,7 @@
 }
 
 // answerAndCount is a server's answer function that counts the command and answers slowly.
-func (received *commandCounter) answerAndCount(conn net.Conn, s standin.Served) {
+func (received *commandCounter) answerAndCount(conn net.Conn, s standin.ReceivedCommand) {
 	received.mu.Lock()
 	received.times[s.Words[2]]++
 	received.class[s.Words[2]] = s.Words[3]
@@ -314,61 +314,61 @@
 }
 
 func TestFailingAcceptClosesNoConnection(t *testing.T) {
-	withFaults(t, []faults.Call{faults.Accept}, 1, withErrnos(faults.Fault{Call: faults.Accept, Share: 0.3}, unix.ENFILE,
+	withFaults(t, []faults.Call{faults.Accept}, 1, withErrnos(faults.Fault{Call: faults.Accept, Probability: 0.3}, unix.ENFILE,
 		unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.EPERM, unix.ENETDOWN, unix.EHOSTUNREACH, unix.ETIMEDOUT)...)
 }
 
 func TestInterruptedWakeUpDelaysNoAnswer(t *testing.T) {
-	withFaults(t, []faults.Call{faults.Write}, 1, withErrnos(faults.Fault{Call: faults.Write, On: faults.Eventfd, Share: 0.1}, unix.EINTR, unix.EAGAIN)...)
+	withFaults(t, []faults.Call{faults.Write}, 1, withErrnos(faults.Fault{Call: faults.Write, Target: faults.Eventfd, Probability: 0.1}, unix.EINTR, unix.EAGAIN)...)
 }
 
 func TestFailingReadClosesNoConnection(t *testing.T) {
-	withFaults(t, []faults.Call{faults.Read}, 1, withErrnos(faults.Fault{Call: faults.Read, On: faults.Sockets, Share: 0.1}, unix.EINTR, unix.EAGAIN, unix.ENOMEM,
+	withFaults(t, []faults.Call{faults.Read}, 1, withErrnos(faults.Fault{Call: faults.Read, Target: faults.Sockets, Probability: 0.1}, unix.EINTR, unix.EAGAIN, unix.ENOMEM,
 		unix.ENOBUFS)...)
 }
 
 func TestFailingWriteClosesNoConnection(t *testing.T) {
-	withFaults(t, []faults.Call{faults.Write}, 1, withErrnos(faults.Fault{Call: faults.Write, On: faults.Sockets, Share: 0.1}, unix.EINTR, unix.EAGAIN,
+	withFaults(t, []faults.Call{faults.Write}, 1, withErrnos(faults.Fault{Call: faults.Write, Target: faults.Sockets, Probability: 0.1}, unix.EINTR, unix.EAGAIN,
 		unix.ENOBUFS, unix.ENOMEM)...)
 }
 
 func TestShortReadsAndWritesLoseNothing(t *testing.T) {
-	withFaults(t, []faults.Call{faults.Read, faults.Write}, 1, faults.Fault{Call: faults.Read, On: faults.Sockets, Short: 7, Share: 0.5},
-		faults.Fault{Call: faults.Write, On: faults.Sockets, Short: 7, Share: 0.5})
+	withFaults(t, []faults.Call{faults.Read, faults.Write}, 1, faults.Fault{Call: faults.Read, Target: faults.Sockets, MaxBytes: 7, Probability: 0.5},
+		faults.Fault{Call: faults.Write, Target: faults.Sockets, MaxBytes: 7, Probability: 0.5})
 }
 
 func TestFailingRecvfromLosesNothing(t *testing.T) {
 	withFaults(t, []faults.Call{faults.Recvfrom}, 1,
-		withErrnos(faults.Fault{Call: faults.Recvfrom, On: faults.Sockets, Share: 0.5}, unix.EINTR, unix.ENOMEM)...)
+		withErrnos(faults.Fault{Call: faults.Recvfrom, Target: faults.Sockets, Probability: 0.5}, unix.EINTR, unix.ENOMEM)...)
 }
 
 func TestInterruptedEpollWaitClosesNothing(t *testing.T) {
-	withFaults(t, []faults.Call{faults.EpollPwait}, 1, withErrnos(faults.Fault{Call: faults.EpollPwait, Share: 0.2}, unix.EINTR)...)
+	withFaults(t, []faults.Call{faults.EpollPwait}, 1, withErrnos(faults.Fault{Call: faults.EpollPwait, Probability: 0.2}, unix.EINTR)...)
 }
 
 func TestFailingRegistrationLosesNoConnection(t *testing.T) {
-	withFaults(t, []faults.Call{faults.EpollCtl}, 1, withErrnos(faults.Fault{Call: faults.EpollCtl, On: faults.Sockets, Share: 0.2},
+	withFaults(t, []faults.Call{faults.EpollCtl}, 1, withErrnos(faults.Fault{Call: faults.EpollCtl, Target: faults.Sockets, Probability: 0.2},
 		unix.ENOMEM, unix.ENOSPC)...)
 }
 
 func TestFailingSocketAndConnectRefuseNoRequest(t *testing.T) {
 	withFaultsAt(t, newPlatform(t, 3, answerAndClose), []faults.Call{faults.Socket, faults.Connect}, 1,
-		append(withErrnos(faults.Fault{Call: faults.Socket, Share: 1, Burst: faultBurst, Pause: 2 * faultBurst},
+		append(withErrnos(faults.Fault{Call: faults.Socket, Probability: 1, Burst: faultBurst, Pause: 2 * faultBurst},
 			unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM),
-			withErrnos(faults.Fault{Call: faults.Connect, Share: 1, Burst: faultBurst, Pause: 2 * faultBurst},
+			withErrnos(faults.Fault{Call: faults.Connect, Probability: 1, Burst: faultBurst, Pause: 2 * faultBurst},
 				unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.EAGAIN, unix.EINTR, unix.ENOBUFS)...)...)
 }
 
 func TestUnreachableServersLoseNothing(t *testing.T) {
 	withFaultsAt(t, newPlatform(t, 3, answerAndClose), []faults.Call{faults.Connect}, 0,
-		withErrnos(faults.Fault{Call: faults.Connect, Share: 0.5}, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNREFUSED)...)
+		withErrnos(faults.Fault{Call: faults.Connect, Probability: 0.5}, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNREFUSED)...)
 }
 
 func TestFailingSocketOptionsRefuseNoRequest(t *testing.T) {
-	withFaultsAt(t, newPlatform(t, 3, answerAndClose), []faults.Call{faults.Setsockopt, faults.Getsockopt, faults.Dup}, 1,
-		faults.Fault{Call: faults.Setsockopt, Errno: unix.ENOBUFS, Share: 0.3},
-		faults.Fault{Call: faults.Getsockopt, Errno: unix.ENOBUFS, Share: 0.3},
-		faults.Fault{Call: faults.Dup, Errno: unix.EMFILE, Share: 0.3})
+	withFaultsAt(t, newPlatform(t, 3, answerAndClose), []faults.Call{faults.Setsockopt, faults.Getsockopt, faults.Fcntl}, 1,
+		faults.Fault{Call: faults.Setsockopt, Errno: unix.ENOBUFS, Probability: 0.3},
+		faults.Fault{Call: faults.Getsockopt, Errno: unix.ENOBUFS, Probability: 0.3},
+		faults.Fault{Call: faults.Fcntl, Errno: unix.EMFILE, Probability: 0.3})
 }
 
 // Requests in flight on a connection that breaks may have run, so they must not be repeated.
@@ -378,7 +378,7 @@
 	ingress := startFaulty(t, platform, []faults.Call{faults.Read, faults.Write})
 	at := port(t, platform.servers[0].Addr())
 	for _, call := range []faults.Call{faults.Read, faults.Write} {
-		for _, fault := range withErrnos(faults.Fault{Call: call, On: faults.Sockets, Port: at, Share: 0.05, Break: true}, unix.ETIMEDOUT,
+		for _, fault := range withErrnos(faults.Fault{Call: call, Target: faults.Sockets, Port: at, Probability: 0.05, BreakConnection: true}, unix.ETIMEDOUT,
 			unix.EHOSTUNREACH, unix.ECONNRESET, unix.EPIPE) {
 			ingress.Set(fault)
 			results := runLoad(ingress.addr, 4, faultDuration/2)
@@ -395,7 +395,7 @@
 	platform := newPlatform(t, 2, received.answerAndCount)
 	ingress := startFaulty(t, platform, []faults.Call{faults.Read, faults.Write})
 	for _, call := range []faults.Call{faults.Read, faults.Write} {
-		for _, fault := range withErrnos(faults.Fault{Call: call, On: faults.Sockets, Port: port(t, ingress.addr), Share: 0.02, Break: true},
+		for _, fault := range withErrnos(faults.Fault{Call: call, Target: faults.Sockets, Port: port(t, ingress.addr), Probability: 0.02, BreakConnection: true},
 			unix.ETIMEDOUT, unix.EHOSTUNREACH) {
 			before := ingress.Counts()[call]
 			ingress.Set(fault)
@@ -415,10 +415,10 @@
 	calls := []faults.Call{faults.Socket, faults.Bind, faults.Setsockopt, faults.Open, faults.Read, faults.EpollCtl}
 	for _, fault := range []faults.Fault{
 		{Call: faults.Socket, Errno: unix.ENFILE}, {Call: faults.Socket, Errno: unix.ENOBUFS}, {Call: faults.Bind, Errno: unix.EADDRINUSE},
-		{Call: faults.Setsockopt, Errno: unix.ENOBUFS}, {Call: faults.Open, On: "config.json", Errno: unix.ENFILE},
-		{Call: faults.Open, On: "config.json", Errno: unix.EIO}, {Call: faults.Read, On: "config.json", Errno: unix.EIO},
+		{Call: faults.Setsockopt, Errno: unix.ENOBUFS}, {Call: faults.Open, Target: "config.json", Errno: unix.ENFILE},
+		{Call: faults.Open, Target: "config.json", Errno: unix.EIO}, {Call: faults.Read, Target: "config.json", Errno: unix.EIO},
 	} {
-		fault.Share, fault.Burst, fault.Pause = 1, 4*faultBurst, time.Hour
+		fault.Probability, fault.Burst, fault.Pause = 1, 4*faultBurst, time.Hour
 		ingress := startFaulty(t, newPlatform(t, 1, answerNow), calls, fault)
 		if ingress.Counts()[fault.Call] == 0 {
 			t.Errorf("%s never failed with %v: the fault was not tested", fault.Call, fault.Errno)
@@ -429,7 +429,7 @@
 
 // A reload is retried while the configuration file can't be read. The last case is a file that is incompletely written.
 func TestReloadsWhileTheFileCannotBeReadBriefly(t *testing.T) {
-	for _, fault := range []faults.Fault{{Call: faults.Open, On: "config.json", Errno: unix.ENFILE}, {Call: faults.Read, On: "config.json", Errno: unix.EIO}, {}} {
+	for _, fault := range []faults.Fault{{Call: faults.Open, Target: "config.json", Errno: unix.ENFILE}, {Call: faults.Read, Target: "config.json", Errno: unix.EIO}, {}} {
 		platform := newPlatform(t, 1, answerNow)
 		ingress := startFaulty(t, platform, []faults.Call{faults.Open, faults.Read})
 		next := newPlatform(t, 1, answerNow)
@@ -439,7 +439,7 @@
 			t.Fatal(err)
 		}
 		if fault.Call != "" {
-			fault.Share = 1
+			fault.Probability = 1
 			ingress.Set(fault)
 		} else if err := os.WriteFile(ingress.config, whole[:len(whole)/2], 0o600); err != nil {
 			t.Fatal(err)
@@ -475,9 +475,9 @@
 		case "reader closed":
 			reader.Close()
 		case "no space":
-			at = append(at, faults.Fault{Call: faults.Write, On: "pipe:", Errno: unix.ENOSPC, Share: 1})
+			at = append(at, faults.Fault{Call: faults.Write, Target: "pipe:", Errno: unix.ENOSPC, Probability: 1})
 		case "input or output error":
-			at = append(at, faults.Fault{Call: faults.Write, On: "pipe:", Errno: unix.EIO, Share: 1})
+			at = append(at, faults.Fault{Call: faults.Write, Target: "pipe:", Errno: unix.EIO, Probability: 1})
 		}
 		ingress := startLogging(t, newPlatform(t, 2, answerNow), writer, []faults.Call{faults.Write}, at...)
 		writer.Close()
--- a/internal/edge/measure_test.go
+++ b/internal/edge/measure_test.go
@@ -28,9 +28,9 @@
 //
 //	EDGE_PROFILE=/tmp/edge.prof go test -run NONE -bench Ingress -benchtime 20000x ./internal/edge
 func BenchmarkIngress(b *testing.B) {
-	platform := newPlatform(b, 4, func(conn net.Conn, s standin.Served) {
+	platform := newPlatform(b, 4, func(conn net.Conn, s standin.ReceivedCommand) {
 		time.Sleep(2 * time.Millisecond)
-		_, _ = conn.Write(standin.Good(s))
+		_, _ = conn.Write(standin.ValueReply(s))
 	})
 	listen := freeAddr(b)
 	path, err := standin.PlatformConfig(b.TempDir(), listen, platform.discovery.Addr(), platform.discovery.List(), standin.PlatformSettings(0, 1))
--- a/internal/edge/plan/budget.go
+++ b/internal/edge/plan/budget.go
@@ -36,7 +36,7 @@
 	ServerConnections int   // connections to servers, without those of probes
 	OpenRequests      int   // requests in progress
 	HeapBytes         int64 // soft memory limit of the garbage collector
-	Front             config.Front
+	Front             config.FrontLimits
 	IdleConnections   crowd.Limits
 }
 
@@ -70,8 +70,8 @@
 		budget.OpenRequests = min(budget.OpenRequests, maxOpenRequests)
 	}
 	budget.IdleConnections = crowd.DefaultLimits(budget.ClientConnections, commandTimeout.Seconds())
-	budget.Front = config.Front{Connections: budget.ClientConnections, Bulk: maxValueBytes, Pipeline: 256, Output: 2 * maxValueBytes,
-		Input: memory / 16, Partial: commandTimeout}
+	budget.Front = config.FrontLimits{MaxConnections: budget.ClientConnections, MaxArgumentBytes: maxValueBytes, MaxPipelined: 256, MaxUnreadBytes: 2 * maxValueBytes,
+		MaxInputBytes: memory / 16, PartialTimeout: commandTimeout}
 	return budget
 }
 
@@ -92,9 +92,9 @@
 // the order of the commands, so an abandoned attempt stays in flight until the attempt ahead of it on the same connection
 // is answered. Where two attempts of a request must not be in flight at once, each connection therefore carries only one.
 func ConnectionLimits(settings terms.Settings, budget Budget) (limits links.Limits, dialTimeoutS float64) {
-	limits = links.Limits{Connections: budget.ServerConnections, Pipeline: 1, RestS: restAfterAnswerS,
-		IdleS: idleTimeoutShare * settings.ConnIdleTimeoutS}
-	if settings.Parallel {
+	limits = links.Limits{Connections: budget.ServerConnections, Pipeline: 1, ReuseDelayS: restAfterAnswerS,
+		IdleTimeoutS: idleTimeoutShare * settings.ConnIdleTimeoutS}
+	if settings.ParallelAttempts {
 		limits.Pipeline = min(maxPipeline, max(1, settings.AttemptsPerConnection))
 	}
 	if dialTimeoutS = settings.DialTimeoutS; !(dialTimeoutS > 0) {
--- a/internal/edge/plan/plan_test.go
+++ b/internal/edge/plan/plan_test.go
@@ -18,15 +18,15 @@
 		if sum := budget.ClientConnections + budget.ServerConnections + fixed + servers + takenOver; sum > sockets {
 			t.Errorf("%d descriptors: up to %d in use", sockets, sum)
 		}
-		if budget.IdleConnections.MaxConnections != budget.ClientConnections || budget.Front.Connections != budget.ClientConnections {
+		if budget.IdleConnections.MaxConnections != budget.ClientConnections || budget.Front.MaxConnections != budget.ClientConnections {
 			t.Errorf("%d descriptors: the front accepts %d clients, the idle limit is for %d, want %d", sockets,
-				budget.Front.Connections, budget.IdleConnections.MaxConnections, budget.ClientConnections)
+				budget.Front.MaxConnections, budget.IdleConnections.MaxConnections, budget.ClientConnections)
 		}
 	}
 	for _, mb := range []float64{MinMemoryMB, 32, 192} {
 		budget := NewBudget(Resources{1, mb, 384}, 20000, 64<<10)
-		if budget.HeapBytes <= 0 || float64(budget.HeapBytes) > 0.7*mb*(1<<20) || budget.Front.Input > int(mb)<<20/8 {
-			t.Errorf("%v MB: heap %d, input %d", mb, budget.HeapBytes, budget.Front.Input)
+		if budget.HeapBytes <= 0 || float64(budget.HeapBytes) > 0.7*mb*(1<<20) || budget.Front.MaxInputBytes > int(mb)<<20/8 {
+			t.Errorf("%v MB: heap %d, input %d", mb, budget.HeapBytes, budget.Front.MaxInputBytes)
 		}
 	}
 	if budget := NewBudget(Resources{1, 64, 384}, 10, 64<<10); budget.OpenRequests != 10 {
@@ -43,10 +43,10 @@
 	budget := NewBudget(Resources{1, 64, 384}, 0, 64<<10)
 	settings := terms.Settings{ConnIdleTimeoutS: 15, DialTimeoutS: 0.25, AttemptsPerConnection: 100}
 	limits, dialTimeoutS := ConnectionLimits(settings, budget)
-	if limits.Pipeline != 1 || limits.IdleS >= 15 || limits.IdleS < 5 || dialTimeoutS != 0.25 {
+	if limits.Pipeline != 1 || limits.IdleTimeoutS >= 15 || limits.IdleTimeoutS < 5 || dialTimeoutS != 0.25 {
 		t.Errorf("no parallel attempts allowed: %+v, dial timeout %v s", limits, dialTimeoutS)
 	}
-	settings.Parallel, settings.DialTimeoutS = true, 0
+	settings.ParallelAttempts, settings.DialTimeoutS = true, 0
 	if limits, dialTimeoutS = ConnectionLimits(settings, budget); limits.Pipeline < 2 || limits.Pipeline > 100 || dialTimeoutS <= 0 {
 		t.Errorf("parallel attempts allowed: %+v, dial timeout %v s", limits, dialTimeoutS)
 	}
--- a/internal/edge/serve_test.go
+++ b/internal/edge/serve_test.go
@@ -102,8 +102,8 @@
 func newID() string { return fmt.Sprintf("%016x", lastID.Add(1)) }
 
 // answerAfter returns a server's answer function that delays requests whose id ends in end until hold is closed.
-func answerAfter(hold <-chan struct{}, end string) func(net.Conn, standin.Served) {
-	return func(conn net.Conn, s standin.Served) {
+func answerAfter(hold <-chan struct{}, end string) func(net.Conn, standin.ReceivedCommand) {
+	return func(conn net.Conn, s standin.ReceivedCommand) {
 		if strings.HasSuffix(s.Words[2], end) {
 			<-hold
 		}
@@ -112,7 +112,7 @@
 }
 
 // answerNow is a server's answer function that answers at once.
-func answerNow(conn net.Conn, s standin.Served) { _, _ = conn.Write(standin.Good(s)) }
+func answerNow(conn net.Conn, s standin.ReceivedCommand) { _, _ = conn.Write(standin.ValueReply(s)) }
 
 func waitFor(t *testing.T, what string, done func() bool) {
 	t.Helper()
@@ -157,10 +157,10 @@
 // at any byte, is passed on complete.
 func TestLargestAndSplitAnswers(t *testing.T) {
 	var cut atomic.Int64
-	platform := newPlatform(t, 1, func(conn net.Conn, s standin.Served) {
-		b := standin.Good(s)
+	platform := newPlatform(t, 1, func(conn net.Conn, s standin.ReceivedCommand) {
+		b := standin.ValueReply(s)
 		if len(s.Words) > 4 { // the value is the body, longer by the number that its first byte gives
-			b = append(resp.AppendBulk(resp.AppendArray(nil, 3), s.Words[4]+strings.Repeat("x", int(s.Words[4][0]-'0'))), "$-1\r\n$-1\r\n"...)
+			b = append(resp.AppendBulk(resp.AppendArrayHeader(nil, 3), s.Words[4]+strings.Repeat("x", int(s.Words[4][0]-'0'))), "$-1\r\n$-1\r\n"...)
 		}
 		n := int(cut.Load()) % len(b)
 		_, _ = conn.Write(b[:n])
@@ -197,7 +197,7 @@
 	conn := dial(t, addr)
 	held := "00000000000000ff"
 	conn.send(request(held, "status", "basic", 2500))
-	waitFor(t, "the request is open", func() bool { return ingress.loop.Status().Held == 1 })
+	waitFor(t, "the request is open", func() bool { return ingress.loop.Status().OpenRequests == 1 })
 	other := dial(t, addr)
 	other.send(request(held, "status", "basic", 2500))
 	other.expect("-ERR*")
@@ -216,7 +216,7 @@
 	conn.expect("value of " + held)
 	conn.send(request(held, "status", "basic", 2500))
 	conn.expect("value of " + held)
-	if status := ingress.loop.Status(); status.Taken != 4 || status.Failed != 1 { // the failed one reused an open id
+	if status := ingress.loop.Status(); status.Received != 4 || status.Failed != 1 { // the failed one reused an open id
 		t.Errorf("%+v", status)
 	}
 }
@@ -227,7 +227,7 @@
 	for _, malformed := range []string{"noise\r\n", "*3\r\n$5\r\nab", "$3000000000\r\nxxxx", "*3\r\n$-1\r\n$-1\r\n$-1\r\n", "+OK\r\n", strings.Repeat("x", 5000),
 		"*99999999\r\n", "HTTP/1.1 200 OK\r\n\r\n"} {
 		var n atomic.Int64
-		platform := newPlatform(t, 2, func(conn net.Conn, s standin.Served) { // an answer that never ends is retried at the other server
+		platform := newPlatform(t, 2, func(conn net.Conn, s standin.ReceivedCommand) { // an answer that never ends is retried at the other server
 			if n.Add(1) == 1 {
 				_, _ = conn.Write([]byte(malformed))
 				return
@@ -241,11 +241,11 @@
 		conn.expect("value of " + id)
 	}
 	var n atomic.Int64
-	platform := newPlatform(t, 1, func(conn net.Conn, s standin.Served) {
+	platform := newPlatform(t, 1, func(conn net.Conn, s standin.ReceivedCommand) {
 		answerNow(conn, s)
 		if n.Add(1)%2 == 1 {
 			time.Sleep(5 * time.Millisecond)
-			_, _ = conn.Write(standin.Good(s)) // a second copy of the answer, when the next request may be in flight
+			_, _ = conn.Write(standin.ValueReply(s)) // a second copy of the answer, when the next request may be in flight
 		}
 	})
 	_, addr := runningIngress(t, platform)
@@ -261,7 +261,7 @@
 // refused connection, which prove that it has not run.
 func TestRequestsThatMayHaveRun(t *testing.T) {
 	var ran atomic.Int64
-	platform := newPlatform(t, 1, func(conn net.Conn, s standin.Served) {
+	platform := newPlatform(t, 1, func(conn net.Conn, s standin.ReceivedCommand) {
 		switch ran.Add(1) {
 		case 1:
 			conn.Close()
@@ -322,11 +322,13 @@
 		host := platform.hosts[0]
 		host.Host = fmt.Sprint("s-new-", i)
 		host.BornMS = time.Now().Add(-time.Minute).UnixMilli()
-		platform.discovery.Set(host)
-		waitFor(t, "the new server is listed", func() bool { return ingress.loop.Beliefs()[0].Server.ID == host.Host })
+		platform.discovery.SetHosts(host)
+		waitFor(t, "the new server is listed", func() bool { return ingress.loop.ServerEstimates()[0].Server.ID == host.Host })
 	}
-	waitFor(t, "the old connections are closed", func() bool { return platform.servers[0].Open() <= 1 && len(ingress.pool.Held()) == 1 })
-	if n := platform.servers[0].Count(); n < times {
+	waitFor(t, "the old connections are closed", func() bool {
+		return platform.servers[0].OpenConnections() <= 1 && len(ingress.pool.ConnectionStats()) == 1
+	})
+	if n := platform.servers[0].TotalConnections(); n < times {
 		t.Errorf("%d connections to %d servers at one address", n, times)
 	}
 }
@@ -341,8 +343,8 @@
 	conn.send(request(id, "status", "basic", 2500))
 	conn.expect("value of " + id)
 	busy.send(request("00000000000000ee", "pay", "basic", 6000))
-	waitFor(t, "the request is in flight", func() bool { return ingress.loop.Status().Held == 1 })
-	next, err := standin.NewRoster(platform.hosts[0])
+	waitFor(t, "the request is in flight", func() bool { return ingress.loop.Status().OpenRequests == 1 })
+	next, err := standin.NewPlatformDiscovery(platform.hosts[0])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -355,8 +357,8 @@
 	waitFor(t, "the new discovery server is polled", func() bool { return len(next.Calls()) > 1 })
 	second := platform.hosts[0]
 	second.Host = "s-second"
-	next.Set(platform.hosts[0], second)
-	waitFor(t, "its changes arrive", func() bool { return len(ingress.loop.Beliefs()) == 2 })
+	next.SetHosts(platform.hosts[0], second)
+	waitFor(t, "its changes arrive", func() bool { return len(ingress.loop.ServerEstimates()) == 2 })
 	close(hold)
 	busy.expect("value of 00000000000000ee")
 	id = newID()
@@ -368,7 +370,7 @@
 // would be killed.
 func TestStops(t *testing.T) {
 	hold := make(chan struct{})
-	platform := newPlatform(t, 1, func(conn net.Conn, s standin.Served) {
+	platform := newPlatform(t, 1, func(conn net.Conn, s standin.ReceivedCommand) {
 		if strings.HasSuffix(s.Words[2], "cc") { // never answered
 			_, _ = conn.Read(make([]byte, 1))
 			return
@@ -381,7 +383,7 @@
 	idle.send(resp.AppendCommand(nil, "PING"))
 	idle.expect("+PONG")
 	busy.send(request("00000000000000dd", "order", "basic", 6000))
-	waitFor(t, "the requests are in flight", func() bool { return ingress.loop.Status().Held == 2 })
+	waitFor(t, "the requests are in flight", func() bool { return ingress.loop.Status().OpenRequests == 2 })
 	start := time.Now()
 	done := make(chan struct{})
 	go func() { defer close(done); ingress.Stop() }()
@@ -445,12 +447,12 @@
 		for i := range hosts {
 			hosts[i].Host = fmt.Sprint("r-", round, "-", i)
 		}
-		platform.discovery.Set(hosts...)
-		waitFor(t, "the new servers are listed", func() bool { return ingress.loop.Beliefs()[0].Server.ID == hosts[0].Host })
+		platform.discovery.SetHosts(hosts...)
+		waitFor(t, "the new servers are listed", func() bool { return ingress.loop.ServerEstimates()[0].Server.ID == hosts[0].Host })
 	}
 	waitFor(t, "all state of earlier clients and servers is released", func() bool {
 		status := ingress.loop.Status()
-		return ingress.front.Open() == 0 && status.Held == 0 && len(ingress.pool.Held()) == 2
+		return ingress.front.OpenConnections() == 0 && status.OpenRequests == 0 && len(ingress.pool.ConnectionStats()) == 2
 	})
 	if status := ingress.loop.Status(); status.Served != 1600 {
 		t.Errorf("%d of 1600 served: %+v", status.Served, status)
@@ -461,7 +463,7 @@
 func TestWaitsForItsFirstList(t *testing.T) {
 	platform := newPlatform(t, 1, answerNow)
 	var listed atomic.Bool
-	platform.discovery.Spoil(func(w http.ResponseWriter, _ *http.Request) bool {
+	platform.discovery.Intercept(func(w http.ResponseWriter, _ *http.Request) bool {
 		if !listed.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
--- a/internal/edge/signals_test.go
+++ b/internal/edge/signals_test.go
@@ -49,7 +49,7 @@
 	platform := newPlatform(t, 1, answerNow)
 	requested, release := make(chan struct{}, 100), make(chan struct{})
 	defer close(release)
-	platform.discovery.Spoil(func(_ http.ResponseWriter, r *http.Request) bool {
+	platform.discovery.Intercept(func(_ http.ResponseWriter, r *http.Request) bool {
 		requested <- struct{}{}
 		select {
 		case <-release:
@@ -75,7 +75,7 @@
 	for _, order := range []string{"hup first", "term first"} {
 		t.Run(order, func(t *testing.T) {
 			hold, received := make(chan struct{}), make(chan struct{}, 1)
-			platform := newPlatform(t, 1, func(conn net.Conn, s standin.Served) {
+			platform := newPlatform(t, 1, func(conn net.Conn, s standin.ReceivedCommand) {
 				received <- struct{}{}
 				answerAfter(hold, "ee")(conn, s)
 			})
@@ -87,7 +87,7 @@
 				}
 				return err == nil
 			})
-			next, err := standin.NewRoster(platform.hosts[0])
+			next, err := standin.NewPlatformDiscovery(platform.hosts[0])
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/edge/soak_test.go
+++ b/internal/edge/soak_test.go
@@ -59,7 +59,7 @@
 
 // soakOnce runs the fleet with one seed and reports the rules that were broken.
 func soakOnce(t *testing.T, seed uint64, duration time.Duration) {
-	record, err := soak.Run(soak.Options{Seed: seed, For: duration, Crowd: seed%4 == 0, Folder: t.TempDir(), Program: func() *exec.Cmd {
+	record, err := soak.Run(soak.Options{Seed: seed, Duration: duration, IdleClients: seed%4 == 0, Folder: t.TempDir(), Program: func() *exec.Cmd {
 		cmd := exec.Command(os.Args[0], "-test.run", "TestMain")
 		cmd.Env = append(os.Environ(), "EDGE_CHILD=1")
 		return cmd
@@ -67,8 +67,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d requests, %d served, %d calls failed, %d rules broken", record.Sent, record.Served, record.Failed, len(record.Breaks))
-	for i, violation := range record.Breaks {
+	t.Logf("%d requests, %d served, %d calls failed, %d rules broken", record.Sent, record.Served, record.FailedCalls, len(record.Violations))
+	for i, violation := range record.Violations {
 		if i == 20 {
 			break
 		}
--- a/internal/edge/svc/client.go
+++ b/internal/edge/svc/client.go
@@ -30,39 +30,39 @@
 	okReply   = []byte("+OK\r\n")
 )
 
-// Command handles one command of a client: it answers at once, or passes a request to the core.
-func (protocol *ClientProtocol) Command(conn front.Conn, args [][]byte) {
+// HandleCommand handles one command of a client: it answers at once, or passes a request to the core.
+func (protocol *ClientProtocol) HandleCommand(conn front.Conn, args [][]byte) {
 	if _, isRequest := isQuery(args[0]); !isRequest {
 		switch {
 		case bytes.EqualFold(args[0], []byte("PING")) && len(args) == 1:
-			conn.Say(pongReply)
+			conn.Reply(pongReply)
 			return
 		case bytes.EqualFold(args[0], []byte("CLIENT")), bytes.EqualFold(args[0], []byte("SELECT")):
-			conn.Say(okReply)
+			conn.Reply(okReply)
 			return
 		}
 	}
 	call, err := protocol.parser.Parse(args)
 	if err != nil {
-		conn.Say(resp.AppendError(nil, "ERR "+err.Error()))
+		conn.Reply(resp.AppendError(nil, "ERR "+err.Error()))
 		return
 	}
-	conn.Ask(call)
+	conn.Submit(call)
 }
 
-// Answer appends the answer to a request. A refusal contains the time after which the client may retry, in milliseconds
+// AppendReply appends the answer to a request. A refusal contains the time after which the client may retry, in milliseconds
 // rounded up, if the settings allow it.
-func (protocol *ClientProtocol) Answer(dst []byte, call *core.Call) []byte {
+func (protocol *ClientProtocol) AppendReply(dst []byte, call *core.Call) []byte {
 	answer := &call.Answer
 	switch answer.Kind {
 	case core.Served:
 		return append(dst, answer.Payload...)
 	case core.Refused:
 		dst = append(dst, "-BUSY"...)
-		if retryAfterMS := math.Ceil(answer.RetryS * 1000); protocol.parser.settings.RetryAfter && retryAfterMS > 0 {
+		if retryAfterMS := math.Ceil(answer.RetryAfterS * 1000); protocol.parser.settings.RetryAfter && retryAfterMS > 0 {
 			dst = strconv.AppendInt(append(dst, ' '), int64(retryAfterMS), 10)
 		}
 		return append(dst, '\r', '\n')
 	}
-	return resp.AppendError(dst, "ERR "+answer.Why)
+	return resp.AppendError(dst, "ERR "+answer.Detail)
 }
--- a/internal/edge/svc/server.go
+++ b/internal/edge/svc/server.go
@@ -17,7 +17,7 @@
 // Limits returns the limits of an answer, which consists of a value, a usage figure and a load report.
 func (ServerProtocol) Limits() resp.Limits {
 	lim := limits
-	lim.Whole = 0
+	lim.Command = 0
 	return lim
 }
 
@@ -27,7 +27,7 @@
 // AppendAttempt appends the client's command, with its field d replaced by the remaining time in milliseconds, at least 1.
 func (ServerProtocol) AppendAttempt(dst, payload []byte, remainingS float64) []byte {
 	var words [maxWords][]byte
-	args, _, _, err := resp.Command(payload, words[:0], limits)
+	args, _, _, err := resp.ParseCommand(payload, words[:0], limits)
 	if err != nil || len(args) < 4 {
 		return append(dst, payload...) // not reached: CommandParser.Parse builds no such payload
 	}
@@ -54,9 +54,9 @@
 	return append(dst, "*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n"...)
 }
 
-// Reply parses the answer to an attempt. An array of three elements that begins with a value is a good answer, whatever
+// ParseReply parses the answer to an attempt. An array of three elements that begins with a value is a good answer, whatever
 // the other elements are. A known error line gives the status of the attempt. Anything else is malformed.
-func (ServerProtocol) Reply(reply []byte) (result core.Result, malformed bool) {
+func (ServerProtocol) ParseReply(reply []byte) (result core.Result, malformed bool) {
 	for _, known := range errorReplies {
 		if rest, matches := bytes.CutPrefix(reply, known.prefix); matches && (rest[0] == ' ' || rest[0] == '\r') {
 			line, _, _ := bytes.Cut(rest, []byte("\r\n"))
@@ -76,7 +76,7 @@
 var errorReplies = []struct {
 	prefix []byte
 	status policy.Status
-}{{[]byte("-BUSY"), policy.Full}, {[]byte("-ERR failed"), policy.Error}}
+}{{[]byte("-BUSY"), policy.Rejected}, {[]byte("-ERR failed"), policy.Error}}
 
 // splitAnswer returns the value and the load report of a good answer, which is an array of the value (a string that is not
 // null), a usage figure, and the load report.
@@ -88,7 +88,7 @@
 	rest = reply[4:]
 	var elements [3][]byte
 	for i := range elements {
-		n, err := resp.Reply(rest, limits)
+		n, err := resp.ReplyLength(rest, limits)
 		if err != nil {
 			return nil, nil, false
 		}
@@ -97,8 +97,10 @@
 	return elements[0], elements[2], true
 }
 
-// Load parses the answer to a probe; nil if it contains no load.
-func (ServerProtocol) Load(reply []byte) *policy.Load { return parseLoad(resp.Text(reply, limits)) }
+// ParseLoad parses the answer to a probe; nil if it contains no load.
+func (ServerProtocol) ParseLoad(reply []byte) *policy.Load {
+	return parseLoad(resp.Text(reply, limits))
+}
 
 // parseLoad parses a load report such as inflight=7,queue=2,util=0.61. Each field has two names: the one of the
 // platform's documentation and the one of the settings. Fields that can't be parsed are skipped; nil if none is left.
--- a/internal/edge/svc/svc.go
+++ b/internal/edge/svc/svc.go
@@ -33,7 +33,7 @@
 )
 
 // limits apply to commands and answers alike.
-var limits = resp.Limits{Bulk: MaxValueBytes, Args: 64, Inline: maxLineBytes, Depth: 2, Whole: MaxValueBytes + 2*maxLineBytes, Arrays: true}
+var limits = resp.Limits{Bulk: MaxValueBytes, Args: 64, Inline: maxLineBytes, Depth: 2, Command: MaxValueBytes + 2*maxLineBytes, ArraysOnly: true}
 
 // CommandParser parses commands by the classes and plans of the settings. It is immutable and safe for concurrent use.
 type CommandParser struct {
@@ -80,7 +80,7 @@
 	case !isHex16(args[2]):
 		return core.Call{}, errors.New("request id can't be read, want 16 hex digits")
 	}
-	call := core.Call{ID: string(args[2]), Client: string(args[1]), Class: -1}
+	call := core.Call{ID: string(args[2]), Customer: string(args[1]), Class: -1}
 	parsed, err := parseFields(args[3])
 	if err != nil {
 		return core.Call{}, err
@@ -104,13 +104,13 @@
 	if err != nil {
 		return core.Call{}, err
 	}
-	if call.Entries, err = parseInteger("spread", parsed.spread, 1, parser.settings.Gateways); err != nil {
+	if call.InstanceCount, err = parseInteger("spread", parsed.spread, 1, parser.settings.Gateways); err != nil {
 		return core.Call{}, err
 	}
-	if call.First, err = parseInteger("first", parsed.first, 0, parser.settings.Gateways-1); err != nil {
+	if call.FirstInstance, err = parseInteger("first", parsed.first, 0, parser.settings.Gateways-1); err != nil {
 		return core.Call{}, err
 	}
-	if call.WithinS, err = parseMilliseconds(parsed.waitMS); err != nil {
+	if call.TimeoutS, err = parseMilliseconds(parsed.waitMS); err != nil {
 		return core.Call{}, err
 	}
 	call.Units, call.Retry = float64(units), parsed.retry
--- a/internal/edge/svc/svc_test.go
+++ b/internal/edge/svc/svc_test.go
@@ -35,16 +35,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if call.ID != "9b1f03aa5c7e2d41" || call.Client != "00000000b4d65521" || call.Class != 0 || call.Plan != "team" || call.WithinS != 0.48 ||
+	if call.ID != "9b1f03aa5c7e2d41" || call.Customer != "00000000b4d65521" || call.Class != 0 || call.Plan != "team" || call.TimeoutS != 0.48 ||
 		call.Units != 2 ||
-		call.Entries != 3 || call.First != 1 || call.Retry || call.Key != "" {
+		call.InstanceCount != 3 || call.FirstInstance != 1 || call.Retry || call.Key != "" {
 		t.Errorf("%+v", call)
 	}
 	call, err = testParser().Parse(byteArgs("SVC.SUBMIT", "00000001ffffffff", "0000000000000000", submitFields, "\x00body\r\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if call.Class != 1 || call.WithinS != 0.4805 || !call.Retry || call.Key != "" {
+	if call.Class != 1 || call.TimeoutS != 0.4805 || !call.Retry || call.Key != "" {
 		t.Errorf("%+v", call)
 	}
 }
@@ -94,8 +94,8 @@
 		for _, text := range []string{submitFields[:i], submitFields[i:], submitFields[:i] + "\x00" + submitFields[i+1:],
 			submitFields[:i] + "=" + submitFields[i:], submitFields[:i] + "," + submitFields[i:]} {
 			call, err := testParser().Parse(byteArgs("SVC.SUBMIT", "00000000b4d65521", "9b1f03aa5c7e2d41", text))
-			if err == nil && (call.Units < 1 || call.Units > 4 || call.Entries < 1 || call.Entries > 4 || call.First < 0 || call.First > 3 ||
-				!(call.WithinS > 0)) {
+			if err == nil && (call.Units < 1 || call.Units > 4 || call.InstanceCount < 1 || call.InstanceCount > 4 || call.FirstInstance < 0 || call.FirstInstance > 3 ||
+				!(call.TimeoutS > 0)) {
 				t.Errorf("%q is accepted as %+v", text, call)
 			}
 		}
@@ -109,7 +109,7 @@
 		t.Fatal(err)
 	}
 	for remainingS, want := range map[float64]string{0.1239: "123", 3: "3000", 0.0001: "1"} {
-		args, n, _, err := resp.Command(ServerProtocol{}.AppendAttempt(nil, call.Payload, remainingS), nil, limits)
+		args, n, _, err := resp.ParseCommand(ServerProtocol{}.AppendAttempt(nil, call.Payload, remainingS), nil, limits)
 		if err != nil || n == 0 {
 			t.Fatal(err)
 		}
@@ -143,14 +143,14 @@
 		{ok("*2\r\n:1\r\n:2\r\n:3\r\n"), policy.OK, false, -1, true},
 		{"-ERR failed\r\n", policy.Error, false, -1, false},
 		{"-ERR failed util=0.7\r\n", policy.Error, false, 0.7, false},
-		{"-BUSY\r\n", policy.Full, false, -1, false},
-		{"-BUSY cpu_share=0.9,pending=3\r\n", policy.Full, false, 0.9, false},
+		{"-BUSY\r\n", policy.Rejected, false, -1, false},
+		{"-BUSY cpu_share=0.9,pending=3\r\n", policy.Rejected, false, 0.9, false},
 		{"-BUSYNESS\r\n", 0, true, 0, false}, {"-ERR failedly\r\n", 0, true, 0, false},
 		{"-SYNTAX\r\n", 0, true, 0, false}, {"-ERR\r\n", 0, true, 0, false}, {"+OK\r\n", 0, true, 0, false}, {":1\r\n", 0, true, 0, false},
 		{string(good), 0, true, 0, false}, {"$-1\r\n", 0, true, 0, false}, {"*-1\r\n", 0, true, 0, false}, {"*0\r\n", 0, true, 0, false},
 		{"*1\r\n$-1\r\n", 0, true, 0, false}, {"*1\r\n:5\r\n", 0, true, 0, false}, {"*2\r\n*1\r\n:1\r\n:2\r\n", 0, true, 0, false},
 	} {
-		result, malformed := ServerProtocol{}.Reply([]byte(test.reply))
+		result, malformed := ServerProtocol{}.ParseReply([]byte(test.reply))
 		if malformed != test.malformed {
 			t.Errorf("%q: malformed %v", test.reply, malformed)
 			continue
@@ -166,11 +166,11 @@
 			t.Errorf("%q: status %v, util %v, payload %q", test.reply, result.Status, util, result.Payload)
 		}
 	}
-	if load := (ServerProtocol{}).Load([]byte("$25\r\nlatency_ms=3.5,util=0.25\r\n")); load == nil || load.Util != 0.25 || load.ServiceMS != 3.5 || load.Queue != -1 {
+	if load := (ServerProtocol{}).ParseLoad([]byte("$25\r\nlatency_ms=3.5,util=0.25\r\n")); load == nil || load.Util != 0.25 || load.ServiceMS != 3.5 || load.Queue != -1 {
 		t.Errorf("probe: %+v", load)
 	}
 	for _, reply := range []string{"-NOPERM\r\n", "+PONG\r\n", "$-1\r\n", "*1\r\n:1\r\n"} {
-		if load := (ServerProtocol{}).Load([]byte(reply)); load != nil {
+		if load := (ServerProtocol{}).ParseLoad([]byte(reply)); load != nil {
 			t.Errorf("%q is parsed as the load %+v", reply, load)
 		}
 	}
@@ -185,12 +185,12 @@
 		want   string
 	}{
 		{testParser(), core.Answer{Kind: core.Served, Payload: []byte("$1\r\nx\r\n")}, "$1\r\nx\r\n"},
-		{testParser(), core.Answer{Kind: core.Refused, RetryS: 0.2501}, "-BUSY 251\r\n"},
+		{testParser(), core.Answer{Kind: core.Refused, RetryAfterS: 0.2501}, "-BUSY 251\r\n"},
 		{testParser(), core.Answer{Kind: core.Refused}, "-BUSY\r\n"},
-		{noRetryAfter, core.Answer{Kind: core.Refused, RetryS: 0.25}, "-BUSY\r\n"},
-		{testParser(), core.Answer{Kind: core.Failed, Why: "no\r\nluck"}, "-ERR no  luck\r\n"},
+		{noRetryAfter, core.Answer{Kind: core.Refused, RetryAfterS: 0.25}, "-BUSY\r\n"},
+		{testParser(), core.Answer{Kind: core.Failed, Detail: "no\r\nluck"}, "-ERR no  luck\r\n"},
 	} {
-		if got := NewClientProtocol(test.parser).Answer(nil, &core.Call{Answer: test.answer}); string(got) != test.want {
+		if got := NewClientProtocol(test.parser).AppendReply(nil, &core.Call{Answer: test.answer}); string(got) != test.want {
 			t.Errorf("%+v: %q, want %q", test.answer, got, test.want)
 		}
 	}
@@ -202,8 +202,8 @@
 	text     string
 }
 
-func (conn *recordingConn) Ask(c core.Call)   { conn.requests = append(conn.requests, c) }
-func (conn *recordingConn) Say(answer []byte) { conn.text += string(answer) }
+func (conn *recordingConn) Submit(c core.Call)  { conn.requests = append(conn.requests, c) }
+func (conn *recordingConn) Reply(answer []byte) { conn.text += string(answer) }
 
 func TestCommand(t *testing.T) {
 	for _, test := range []struct {
@@ -216,7 +216,7 @@
 		{[]string{"HELLO", "3"}, 0, "-ERR "}, {[]string{"PING", "x"}, 0, "-ERR "}, {[]string{"FLUSHALL"}, 0, "-ERR "}, {[]string{""}, 0, "-ERR "},
 	} {
 		conn := &recordingConn{}
-		NewClientProtocol(testParser()).Command(conn, byteArgs(test.words...))
+		NewClientProtocol(testParser()).HandleCommand(conn, byteArgs(test.words...))
 		if len(conn.requests) != test.requests || !strings.HasPrefix(conn.text, test.text) || test.requests > 0 && conn.text != "" {
 			t.Errorf("%v: %d requests, answered %q", test.words, len(conn.requests), conn.text)
 		}
@@ -227,7 +227,7 @@
 func TestLimits(t *testing.T) {
 	lim := NewClientProtocol(testParser()).Limits()
 	for _, header := range []string{"*6\r\n", "*1\r\n$65537\r\n", "*1\r\n$60000000\r\n", "*5\r\n$65536\r\n", "*2\r\n$-1\r\n", "GET\r\n"} {
-		_, _, _, err := resp.Command([]byte(header), nil, lim)
+		_, _, _, err := resp.ParseCommand([]byte(header), nil, lim)
 		var protocolErr resp.ProtocolError
 		if allowed := header == "*5\r\n$65536\r\n"; errors.As(err, &protocolErr) == allowed {
 			t.Errorf("%q: %v", header, err)
--- a/internal/edge/trace.go
+++ b/internal/edge/trace.go
@@ -19,23 +19,23 @@
 )
 
 // answerEvents are the messages with which the trace logs the answers to requests.
-var answerEvents = map[core.Kind]string{core.Served: "served", core.Refused: "refused", core.Failed: "failed", core.Admitted: "admitted"}
+var answerEvents = map[core.AnswerKind]string{core.Served: "served", core.Refused: "refused", core.Failed: "failed", core.Admitted: "admitted"}
 
 // traceRequests returns an observer that logs each step in the processing of a request. It is for the diagnosis of a
 // single run: logging costs more than the requests themselves.
-func traceRequests(log zerolog.Logger) func(core.Note) {
-	return func(note core.Note) {
-		line := log.Info().Str("id", note.ID).Str("customer", note.Client)
-		switch note.Event {
+func traceRequests(log zerolog.Logger) func(core.Event) {
+	return func(note core.Event) {
+		line := log.Info().Str("id", note.ID).Str("customer", note.Customer)
+		switch note.Kind {
 		case core.AttemptSent:
-			line.Int("attempt", note.Attempt).Str("server", note.Box).Float64("within", note.WithinS).Msg("attempt sent")
+			line.Int("attempt", note.Attempt).Str("server", note.Server).Float64("within", note.TimeoutS).Msg("attempt sent")
 		case core.AttemptEnded:
-			line.Int("attempt", note.Attempt).Str("server", note.Box).Float64("took", note.SpentS).Stringer("status", note.Status).
+			line.Int("attempt", note.Attempt).Str("server", note.Server).Float64("took", note.ElapsedS).Stringer("status", note.Status).
 				Msg("attempt ended")
 		case core.CallAnswered:
-			line.Float64("within", note.WithinS).Float64("took", note.SpentS).Str("why", note.Answer.Why).Msg(answerEvents[note.Answer.Kind])
-		case core.ClientLeft:
-			line.Float64("took", note.SpentS).Msg("client left")
+			line.Float64("within", note.TimeoutS).Float64("took", note.ElapsedS).Str("why", note.Answer.Detail).Msg(answerEvents[note.Answer.Kind])
+		case core.ClientDisconnected:
+			line.Float64("took", note.ElapsedS).Msg("client left")
 		}
 	}
 }
@@ -78,13 +78,13 @@
 
 // logServerStates logs the state of each server as the policy module estimates it, next to the state of the connections.
 func (ingress *Ingress) logServerStates() {
-	pool := ingress.pool.Held()
-	for _, estimate := range ingress.loop.Beliefs() {
+	pool := ingress.pool.ConnectionStats()
+	for _, estimate := range ingress.loop.ServerEstimates() {
 		actual := pool[estimate.Server.ID]
 		ingress.log.Info().Str("server", estimate.Server.ID).Int("state", int(estimate.Server.State)).
-			Int("believed_out", estimate.InFlight).Int("out", actual.Out).
-			Int("connections", actual.Connections).Int("idle", actual.Idle).Int("given_up", actual.GivenUp).Float64("speed", estimate.Speed).
-			Float64("sick", estimate.Sick).Float64("util", estimate.Util).Float64("util_age", estimate.UtilAgeS).Msg("belief")
+			Int("believed_out", estimate.InFlight).Int("out", actual.InFlight).
+			Int("connections", actual.Connections).Int("idle", actual.Idle).Int("given_up", actual.Cancelled).Float64("speed", estimate.LatencyRatio).
+			Float64("sick", estimate.Suspicion).Float64("util", estimate.Util).Float64("util_age", estimate.UtilAgeS).Msg("belief")
 	}
 }
 
@@ -93,17 +93,17 @@
 	status, pool, clients := ingress.loop.Status(), ingress.pool.Counts(), ingress.front.Counts()
 	lists, failed := ingress.discovery.Counts()
 	refused := zerolog.Dict()
-	for reason, n := range status.RefusedFor {
+	for reason, n := range status.RefusedByReason {
 		if n > 0 {
 			refused.Uint64(policy.Refusal(reason).String(), n)
 		}
 	}
-	ingress.log.Info().Uint64("lists", lists).Uint64("lists_failed", failed).Uint64("taken", status.Taken).Uint64("served", status.Served).
-		Uint64("refused", status.Refused).Dict("refused_for", refused).Uint64("failed", status.Failed).Uint64("gone", status.Gone).
-		Uint64("too_late", status.TooLate).Uint64("overfull", status.Overfull).Uint64("overdue", status.Overdue).Uint64("late", status.Late).
-		Uint64("attempts", status.Attempts).Uint64("timeouts", status.Timeouts).Uint64("stalls", ingress.pauses.Seen()).
-		Int("held", status.Held).Int("waiting", status.Waiting).Uint64("dials", pool.Dials).Uint64("dials_failed", pool.DialsFailed).
-		Uint64("broken", pool.Broken).Int64("box_connections", pool.Open).Int("client_connections", ingress.front.Open()).
-		Uint64("opened", clients.Opened).Uint64("cut", clients.Cut).Uint64("evicted", clients.Evicted).Uint64("parked", clients.Parked).
+	ingress.log.Info().Uint64("lists", lists).Uint64("lists_failed", failed).Uint64("taken", status.Received).Uint64("served", status.Served).
+		Uint64("refused", status.Refused).Dict("refused_for", refused).Uint64("failed", status.Failed).Uint64("gone", status.Disconnected).
+		Uint64("too_late", status.DeadlinePassed).Uint64("overfull", status.Overloaded).Uint64("overdue", status.Overdue).Uint64("late", status.LateResults).
+		Uint64("attempts", status.Attempts).Uint64("timeouts", status.Timeouts).Uint64("stalls", ingress.pauses.PauseCount()).
+		Int("held", status.OpenRequests).Int("waiting", status.QueuedCalls).Uint64("dials", pool.Dials).Uint64("dials_failed", pool.DialsFailed).
+		Uint64("broken", pool.AttemptsBroken).Int64("box_connections", pool.OpenConnections).Int("client_connections", ingress.front.OpenConnections()).
+		Uint64("opened", clients.Opened).Uint64("cut", clients.Terminated).Uint64("evicted", clients.Evicted).Uint64("parked", clients.ReadsPaused).
 		Uint64("ended_with_open_requests", clients.Abandoned).Msg("totals")
 }
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -136,8 +136,8 @@
 // triesMost bounds how often a call that needs no waiting is made again at once.
 const triesMost = 10
 
-// Unread tells whether something of the other end's lies unread, be it its end. Where the system can't tell, it says yes.
-func (c *Conn) Unread() bool {
+// HasUnread tells whether something of the other end's lies unread, be it its end. Where the system can't tell, it says yes.
+func (c *Conn) HasUnread() bool {
 	var one [1]byte
 	for range triesMost {
 		_, _, err := unix.Recvfrom(c.fd, one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -154,7 +154,7 @@
 				return None
 			},
 		}
-		g := startWith(t, e, Options{EndsFirst: ends, Log: zerolog.Nop()})
+		g := startWith(t, e, Options{CloseOnPeerShutdown: ends, Log: zerolog.Nop()})
 		client := dial(t, g)
 		c := <-conns
 		_, _ = client.Write([]byte("one"))
--- a/internal/eventloop/group.go
+++ b/internal/eventloop/group.go
@@ -51,8 +51,8 @@
 	ReadBuffer int // bytes that are read at once, 0 for 64 kB
 	// EndsFirst has a connection closed as soon as its other end has ended it, or its sending: what lies unread before that
 	// end is thrown away. Otherwise it is read first.
-	EndsFirst bool
-	Log       zerolog.Logger
+	CloseOnPeerShutdown bool
+	Log                 zerolog.Logger
 }
 
 const readBuffer = 64 << 10
@@ -78,7 +78,7 @@
 func New(h Handler, opt Options) (*Group, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), startFor)
 	defer cancel()
-	g := &Group{handler: h, ends: opt.EndsFirst, log: opt.Log.Sample(&zerolog.BurstSampler{Burst: warnMost, Period: time.Second})}
+	g := &Group{handler: h, ends: opt.CloseOnPeerShutdown, log: opt.Log.Sample(&zerolog.BurstSampler{Burst: warnMost, Period: time.Second})}
 	size := opt.ReadBuffer
 	if size <= 0 {
 		size = readBuffer
@@ -129,7 +129,7 @@
 		return err
 	}
 	var fd int
-	err = syserr.Retry(ctx, syserr.Busy, func() error {
+	err = syserr.Retry(ctx, syserr.ListenRetryable, func() error {
 		fd, g.addr, err = listen(at)
 		return err
 	})
--- a/internal/front/closing.go
+++ b/internal/front/closing.go
@@ -21,24 +21,24 @@
 
 // part ends all connections: those with nothing open at once, then the others, too, whatever they have begun. It returns
 // once all clients have ended, or no longer wait for it.
-func (s *Server) part(ctx context.Context) {
-	s.Retire()
+func (srv *Server) part(ctx context.Context) {
+	srv.CloseWhenIdle()
 	start := time.Now()
-	for s.open.Load() > 0 && time.Since(start) < partMost {
+	for srv.open.Load() > 0 && time.Since(start) < partMost {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(5 * time.Millisecond):
 		}
 		last := time.Since(start) > partLeast
-		s.each(func(l *loop) { l.part(last) })
+		srv.each(func(l *loop) { l.part(last) })
 	}
 }
 
 // part ends the loop's connections that have nothing open, with last the others that are not owed an answer.
 func (l *loop) part(last bool) {
 	for k := range l.conns {
-		if k.idle() && !k.c.Unread() || last && !k.parked && k.waiting() == 0 {
+		if k.idle() && !k.c.HasUnread() || last && !k.parked && k.waiting() == 0 {
 			l.act(k, l.finish(k, shuttingDown))
 		}
 	}
@@ -62,20 +62,20 @@
 	}
 	k.report(gone)
 	if len(gone) > 0 {
-		s.core.Gone(gone)
+		s.core.Disconnected(gone)
 	}
 	k.queue, k.head, k.in = nil, 0, nil
 }
 
 // sweep cuts connections whose command stays unfinished, or who never say who they are.
 func (l *loop) sweep() {
-	now, most := time.Now(), l.s.opt.Bounds.Partial
+	now, most := time.Now(), l.s.opt.Limits.PartialTimeout
 	for len(l.lingering) > 0 && l.lingering[0].lingerTo < seconds() {
 		l.hurry()
 	}
-	open, leaves := int(l.s.open.Load()), l.s.opt.Crowd.ShouldClose
+	open, leaves := int(l.s.open.Load()), l.s.opt.IdleLimits.ShouldClose
 	if l.s.retiring.Load() {
-		leaves = l.s.opt.Crowd.ShouldCloseOnShutdown
+		leaves = l.s.opt.IdleLimits.ShouldCloseOnShutdown
 	}
 	for k := range l.conns {
 		slow := !k.partial.IsZero() && now.Sub(k.partial) > most && !k.waits || k.client == nil && now.Sub(k.since) > most
@@ -85,7 +85,7 @@
 			l.s.cut.Add(1)
 			k.because(unfinishedCommand)
 			k.leaves() // answers that are awaited come first
-		case k.idle() && leaves(k.guest, seconds(), open) && !k.c.Unread():
+		case k.idle() && leaves(k.guest, seconds(), open) && !k.c.HasUnread():
 			l.act(k, l.finish(k, idleTooLong))
 		}
 	}
@@ -102,7 +102,7 @@
 // evict closes the connection that gives way to a new one; false if none does.
 func (l *loop) evict() bool {
 	var out *conn
-	now, crowd := seconds(), l.s.opt.Crowd
+	now, crowd := seconds(), l.s.opt.IdleLimits
 	for k := range l.conns {
 		k.guest.CommandStarted = len(k.in) > 0
 		if k.settled() && (!k.guest.CommandStarted || k.guest.Commands == 0) && crowd.Evictable(k.guest, now) &&
@@ -150,7 +150,7 @@
 	l.s.lingering.Add(1)
 	l.lingering = append(l.lingering, k)
 	// While this instance leaves nobody new needs the room.
-	for most := max(1, l.s.opt.Bounds.Connections/lingerShare); len(l.lingering) > most && !l.s.retiring.Load(); {
+	for most := max(1, l.s.opt.Limits.MaxConnections/lingerShare); len(l.lingering) > most && !l.s.retiring.Load(); {
 		l.hurry()
 	}
 	return eventloop.None
--- a/internal/links/links.go
+++ b/internal/links/links.go
@@ -19,9 +19,9 @@
 type Effects interface {
 	Dial() // open a connection: ends in Opened or DialFailed
 	// Write has the payload written in the order of the calls. Right before, Writing tells whether it still may.
-	Write(l *Link, a core.Attempt, payload []byte)
-	Close(l *Link)                            // ends in Closed
-	End(a core.Attempt, status policy.Status) // the attempt has ended without an answer
+	Write(l *Link, a core.AttemptID, payload []byte)
+	Close(l *Link)                              // ends in Closed
+	End(a core.AttemptID, status policy.Status) // the attempt has ended without an answer
 }
 
 // Limits bound what a Box uses. Times are in seconds on one clock with those of the methods.
@@ -30,8 +30,8 @@
 	Pipeline    int // attempts awaited on one of them, 1 at least
 	// RestS is how long a connection is not used after an answer while another one can be had: more than belongs
 	// to the answer may still come, and would be taken for the next one's.
-	RestS float64
-	IdleS float64 // a connection that has stood idle for so long is closed and not used any more, 0: none is
+	ReuseDelayS  float64
+	IdleTimeoutS float64 // a connection that has stood idle for so long is closed and not used any more, 0: none is
 }
 
 // Box is the connections to one box. It is not safe for concurrent use.
@@ -41,7 +41,7 @@
 	links   []*Link
 	dialing int
 	waiting []*flight // for a connection
-	flights map[core.Attempt]*flight
+	flights map[core.AttemptID]*flight
 	retired bool
 	drains  bool // nothing new goes to the box
 }
@@ -61,7 +61,7 @@
 
 // flight is what one answer on a link is awaited for.
 type flight struct {
-	attempt core.Attempt
+	attempt core.AttemptID
 	payload []byte
 	startBy float64 // not to be written after this time
 	until   float64 // its answer is of no use after this time
@@ -74,7 +74,7 @@
 
 // New returns a box without connections.
 func New(lim Limits, fx Effects) *Box {
-	return &Box{lim: lim, fx: fx, flights: map[core.Attempt]*flight{}}
+	return &Box{lim: lim, fx: fx, flights: map[core.AttemptID]*flight{}}
 }
 
 // Bound changes how many connections there may be; those that stand go on.
@@ -82,8 +82,8 @@
 
 // Send starts an attempt: over an idle connection, else a new one, else one that rests, else in line behind the
 // fewest. With no room at all it ends at once as Full: the box has not seen it.
-func (b *Box) Send(now float64, a core.Attempt, payload []byte, timing policy.Timing) {
-	f := &flight{attempt: a, payload: payload, startBy: now + min(timing.StartS, timing.AnswerS), until: now + timing.AnswerS}
+func (b *Box) Send(now float64, a core.AttemptID, payload []byte, timing policy.Timing) {
+	f := &flight{attempt: a, payload: payload, startBy: now + min(timing.StartWithinS, timing.AnswerWithinS), until: now + timing.AnswerWithinS}
 	b.flights[a] = f
 	b.place(now, f)
 }
@@ -94,7 +94,7 @@
 	switch {
 	case b.drains:
 		delete(b.flights, a)
-		b.fx.End(a, policy.Moot)
+		b.fx.End(a, policy.NotSent)
 	case idle != nil:
 		b.write(idle, f)
 	case len(b.links)+b.dialing < b.lim.Connections:
@@ -108,7 +108,7 @@
 		b.waiting = append(b.waiting, f)
 	default:
 		delete(b.flights, a)
-		b.fx.End(a, policy.Full)
+		b.fx.End(a, policy.Rejected)
 	}
 }
 
@@ -134,9 +134,9 @@
 		n := len(l.flights) - l.setups
 		switch {
 		case l.closed || l.last || l.dead > 0:
-		case n == 0 && b.lim.IdleS > 0 && now-l.usedAt > b.lim.IdleS:
+		case n == 0 && b.lim.IdleTimeoutS > 0 && now-l.usedAt > b.lim.IdleTimeoutS:
 			b.close(l) // the box may be closing it, which would reset whatever is written now
-		case n == 0 && l.rests && now-l.usedAt < b.lim.RestS:
+		case n == 0 && l.rests && now-l.usedAt < b.lim.ReuseDelayS:
 			if resting == nil || l.usedAt < resting.usedAt {
 				resting = l
 			}
@@ -157,7 +157,7 @@
 
 // Writing tells whether an attempt's payload is to be written now, and how many seconds it has. One that was given
 // up meanwhile, whose time is over, or whose box drains is taken off its connection: the box never sees it.
-func (b *Box) Writing(now float64, l *Link, a core.Attempt) (leftS float64, may bool) {
+func (b *Box) Writing(now float64, l *Link, a core.AttemptID) (leftS float64, may bool) {
 	i := slices.IndexFunc(l.flights, func(f *flight) bool { return !f.setup && f.attempt == a })
 	if i < 0 {
 		return 0, false // its connection has ended
@@ -173,7 +173,7 @@
 		l.dead--
 	case b.drains || now <= f.until: // the box is not to blame
 		delete(b.flights, a)
-		b.fx.End(a, policy.Moot)
+		b.fx.End(a, policy.NotSent)
 	default:
 		delete(b.flights, a)
 		b.fx.End(a, policy.ConnectFailed)
@@ -187,7 +187,7 @@
 func (l *Link) Out() int { return len(l.flights) - l.setups - l.dead }
 
 // Wrote tells where an attempt that Writing let through ends among the bytes that its connection is to carry.
-func (l *Link) Wrote(a core.Attempt, end int64) {
+func (l *Link) Wrote(a core.AttemptID, end int64) {
 	if i := slices.IndexFunc(l.flights, func(f *flight) bool { return !f.setup && f.attempt == a }); i >= 0 {
 		l.flights[i].end = end
 	}
@@ -270,15 +270,15 @@
 
 // Withdraw takes back an attempt whose answer nobody needs any more: one that was not written ends as Moot, the
 // box never sees it. One that was runs to its end.
-func (b *Box) Withdraw(a core.Attempt) {
+func (b *Box) Withdraw(a core.AttemptID) {
 	if f := b.flights[a]; f != nil && !f.written {
 		b.Cancel(a)
-		b.fx.End(a, policy.Moot)
+		b.fx.End(a, policy.NotSent)
 	}
 }
 
 // Cancel gives an attempt up; nothing more is told of it.
-func (b *Box) Cancel(a core.Attempt) {
+func (b *Box) Cancel(a core.AttemptID) {
 	f := b.flights[a]
 	if f == nil {
 		return
@@ -312,9 +312,9 @@
 )
 
 // Answered matches the next answer on a connection to what it was awaited for.
-func (b *Box) Answered(now float64, l *Link) (core.Attempt, Kind) {
+func (b *Box) Answered(now float64, l *Link) (core.AttemptID, Kind) {
 	if len(l.flights) == 0 {
-		return core.Attempt{}, Unexpected
+		return core.AttemptID{}, Unexpected
 	}
 	f := l.flights[0]
 	l.flights = l.flights[1:]
@@ -370,14 +370,14 @@
 	b.waiting = nil
 	for _, f := range waiting {
 		delete(b.flights, f.attempt)
-		b.fx.End(f.attempt, policy.Moot)
+		b.fx.End(f.attempt, policy.NotSent)
 	}
 }
 
 // Sweep closes connections that have stood idle for too long.
 func (b *Box) Sweep(now float64) {
 	for _, l := range b.links {
-		if b.lim.IdleS > 0 && len(l.flights) == 0 && now-l.usedAt > b.lim.IdleS {
+		if b.lim.IdleTimeoutS > 0 && len(l.flights) == 0 && now-l.usedAt > b.lim.IdleTimeoutS {
 			b.close(l)
 		}
 	}
--- a/internal/links/links_test.go
+++ b/internal/links/links_test.go
@@ -20,7 +20,7 @@
 
 // till is the timing of an attempt that may be begun, and answered, until then.
 func till(now, until float64) policy.Timing {
-	return policy.Timing{StartS: until - now, AnswerS: until - now}
+	return policy.Timing{StartWithinS: until - now, AnswerWithinS: until - now}
 }
 
 // wire records what a box wants done.
@@ -34,15 +34,15 @@
 func newWire() *wire { return &wire{written: map[*Link][]int{}, ended: map[int]policy.Status{}} }
 
 func (w *wire) Dial() { w.dials++ }
-func (w *wire) Write(l *Link, _ core.Attempt, payload []byte) {
+func (w *wire) Write(l *Link, _ core.AttemptID, payload []byte) {
 	w.written[l] = append(w.written[l], int(payload[0]))
 }
 func (w *wire) Close(l *Link) { w.closing = append(w.closing, l) }
-func (w *wire) End(a core.Attempt, s policy.Status) {
-	if _, twice := w.ended[a.N]; twice {
+func (w *wire) End(a core.AttemptID, s policy.Status) {
+	if _, twice := w.ended[a.Index]; twice {
 		panic("an attempt ended twice")
 	}
-	w.ended[a.N] = s
+	w.ended[a.Index] = s
 }
 
 // writing is Writing as a plain answer.
@@ -51,7 +51,7 @@
 	return may
 }
 
-func at(n int) core.Attempt { return core.Attempt{N: n} }
+func at(n int) core.AttemptID { return core.AttemptID{Index: n} }
 
 // An attempt that waited for two connections at once is not left behind when both have opened.
 func TestNothingIsLeftWaiting(t *testing.T) {
@@ -65,7 +65,7 @@
 		t.Fatalf("%d dials, written %v and %v", w.dials, w.written[x], w.written[y])
 	}
 	b.Send(0, at(4), []byte{4}, till(0, 10))
-	if w.ended[4] != policy.Full {
+	if w.ended[4] != policy.Rejected {
 		t.Fatalf("beyond the bounds: %v", w.ended)
 	}
 }
@@ -134,8 +134,8 @@
 				default:
 					first := w.written[l][0]
 					w.written[l] = w.written[l][1:]
-					if a.N != first || (k == Late) != given[first] {
-						t.Fatalf("the answer to %d went to %d as %v", first, a.N, k)
+					if a.Index != first || (k == Late) != given[first] {
+						t.Fatalf("the answer to %d went to %d as %v", first, a.Index, k)
 					}
 					answered[first] = true
 				}
@@ -226,9 +226,9 @@
 		t.Fatalf("ended %v", w.ended)
 	}
 	for _, want := range []struct {
-		a core.Attempt
+		a core.AttemptID
 		k Kind
-	}{{core.Attempt{}, Greeting}, {at(3), Live}, {at(4), Live}, {core.Attempt{}, Unexpected}} {
+	}{{core.AttemptID{}, Greeting}, {at(3), Live}, {at(4), Live}, {core.AttemptID{}, Unexpected}} {
 		if a, k := b.Answered(0, l); a != want.a || k != want.k {
 			t.Fatalf("%v %v, want %v", a, k, want)
 		}
@@ -251,7 +251,7 @@
 // A connection that has answered is left alone for a while, and used all the same where no other can be had.
 func TestRestsAfterAnAnswer(t *testing.T) {
 	w := newWire()
-	b := New(Limits{Connections: 2, Pipeline: 1, RestS: 1}, w)
+	b := New(Limits{Connections: 2, Pipeline: 1, ReuseDelayS: 1}, w)
 	b.Send(0, at(0), []byte{0}, till(0, 10))
 	x := b.Opened(0, nil, 0)
 	b.Answered(2, x)
@@ -304,13 +304,13 @@
 	x := b.Opened(0, nil, 0)
 	b.Send(0, at(1), []byte{1}, till(0, 10)) // waits for the second connection
 	b.Drain()
-	if w.ended[1] != policy.Moot {
+	if w.ended[1] != policy.NotSent {
 		t.Fatalf("what waits for a connection: %v", w.ended)
 	}
-	if writing(b, 0, x, 0) || w.ended[0] != policy.Moot {
+	if writing(b, 0, x, 0) || w.ended[0] != policy.NotSent {
 		t.Fatalf("what stands in line: %v", w.ended)
 	}
-	if b.Send(0, at(2), []byte{2}, till(0, 10)); w.ended[2] != policy.Moot {
+	if b.Send(0, at(2), []byte{2}, till(0, 10)); w.ended[2] != policy.NotSent {
 		t.Fatalf("what is sent later: %v", w.ended)
 	}
 	b.Opened(0, nil, 0)
@@ -326,7 +326,7 @@
 // Idle connections are closed before the box does so, and not used while that is under way.
 func TestIdleConnectionsGo(t *testing.T) {
 	w := newWire()
-	b := New(Limits{Connections: 1, Pipeline: 1, IdleS: 5}, w)
+	b := New(Limits{Connections: 1, Pipeline: 1, IdleTimeoutS: 5}, w)
 	b.Send(0, at(0), []byte{0}, till(0, 100))
 	x := b.Opened(0, nil, 0)
 	b.Sweep(20) // out: not idle
@@ -413,15 +413,15 @@
 func TestTooLateToBegin(t *testing.T) {
 	w := newWire()
 	b := New(Limits{Connections: 1, Pipeline: 1}, w)
-	b.Send(0, at(0), []byte{0}, policy.Timing{StartS: 0.2, AnswerS: 10})
+	b.Send(0, at(0), []byte{0}, policy.Timing{StartWithinS: 0.2, AnswerWithinS: 10})
 	l := b.Opened(0.3, w, 0)
 	if _, may := b.Writing(0.3, l, at(0)); may {
 		t.Error("begun after its time")
 	}
-	if w.ended[0] != policy.Moot {
+	if w.ended[0] != policy.NotSent {
 		t.Errorf("ended as %v, want not sent", w.ended[0])
 	}
-	b.Send(1, at(1), []byte{1}, policy.Timing{StartS: 0.2, AnswerS: 10})
+	b.Send(1, at(1), []byte{1}, policy.Timing{StartWithinS: 0.2, AnswerWithinS: 10})
 	if left, may := b.Writing(1.1, l, at(1)); !may || left < 9.8 || left > 9.91 {
 		t.Errorf("%v s are left for its answer, may begin %v", left, may)
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -19,7 +19,7 @@
 
 // Sink receives the messages of other instances.
 type Sink interface {
-	Heard(from int, data []byte) // takes an accepted message and the number of the instance that sent it
+	QueueMessage(from int, data []byte) // takes an accepted message and the number of the instance that sent it
 }
 
 // Counts are totals since the start.
@@ -64,19 +64,19 @@
 
 // OpenSealed binds the address of this instance for messages that are encrypted and authenticated.
 func OpenSealed(cfg *config.Config, sink Sink, log zerolog.Logger) (*Transport, error) {
-	transport := &Transport{self: cfg.Me, sink: sink, log: log, queue: make(chan outgoing, sendQueueSize)}
+	transport := &Transport{self: cfg.Self, sink: sink, log: log, queue: make(chan outgoing, sendQueueSize)}
 	for _, instance := range cfg.Instances {
-		addr, err := net.ResolveUDPAddr("udp", instance.Peer)
+		addr, err := net.ResolveUDPAddr("udp", instance.PeerAddress)
 		if err != nil {
 			return nil, fmt.Errorf("instance %d: %w", instance.Number, err)
 		}
 		transport.addrs = append(transport.addrs, addr)
 	}
 	var err error
-	if transport.envelope, err = newSealer(cfg.PeerKey, cfg.Me, len(cfg.Instances), uint64(time.Now().UnixNano())); err != nil {
+	if transport.envelope, err = newSealer(cfg.PeerKey, cfg.Self, len(cfg.Instances), uint64(time.Now().UnixNano())); err != nil {
 		return nil, err
 	}
-	if err = transport.listen(transport.addrs[cfg.Me]); err != nil {
+	if err = transport.listen(transport.addrs[cfg.Self]); err != nil {
 		return nil, err
 	}
 	return transport, nil
@@ -125,7 +125,7 @@
 func (transport *Transport) listen(addr *net.UDPAddr) error {
 	ctx, cancel := context.WithTimeout(context.Background(), listenRetryPeriod)
 	defer cancel()
-	err := syserr.Retry(ctx, syserr.Busy, func() (err error) {
+	err := syserr.Retry(ctx, syserr.ListenRetryable, func() (err error) {
 		transport.conn, err = net.ListenUDP("udp", addr)
 		return err
 	})
@@ -135,12 +135,12 @@
 	return nil
 }
 
-// Tell queues a message for one instance, or for all others with policy.Broadcast. It never blocks; the message may be lost.
-func (transport *Transport) Tell(instance int, data []byte) {
+// SendToPeer queues a message for one instance, or for all others with policy.Broadcast. It never blocks; the message may be lost.
+func (transport *Transport) SendToPeer(instance int, data []byte) {
 	if instance == policy.Broadcast && transport.broadcastAddr == nil {
 		for i := range transport.addrs {
 			if i != transport.self {
-				transport.Tell(i, data)
+				transport.SendToPeer(i, data)
 			}
 		}
 		return
@@ -206,7 +206,7 @@
 		switch {
 		case err == nil:
 			transport.received.Add(1)
-			transport.sink.Heard(from, message)
+			transport.sink.QueueMessage(from, message)
 		case errors.Is(err, ErrReplayed):
 			transport.replayed.Add(1)
 		case errors.Is(err, ErrOld):
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -23,7 +23,7 @@
 	messages []string
 }
 
-func (r *messageRecorder) Heard(from int, data []byte) {
+func (r *messageRecorder) QueueMessage(from int, data []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.messages = append(r.messages, string(rune('0'+from))+string(data))
@@ -49,9 +49,9 @@
 	defer tap.Close()
 	key := bytes.Repeat([]byte{7}, 32)
 	open := func(self int, addrs ...string) (*Transport, *messageRecorder) {
-		cfg := &config.Config{Me: self, PeerKey: key}
+		cfg := &config.Config{Self: self, PeerKey: key}
 		for i, addr := range addrs {
-			cfg.Instances = append(cfg.Instances, config.Instance{Number: i, Peer: addr})
+			cfg.Instances = append(cfg.Instances, config.Instance{Number: i, PeerAddress: addr})
 		}
 		messages := &messageRecorder{}
 		transport, err := OpenSealed(cfg, messages, zerolog.Nop())
@@ -68,9 +68,9 @@
 	sender, _ := open(0, "127.0.0.1:0", tap.LocalAddr().String())
 	receiver, got := open(1, "127.0.0.1:1", "127.0.0.1:0")
 	to := receiver.conn.LocalAddr().(*net.UDPAddr)
-	sender.Tell(1, []byte("hello"))
-	sender.Tell(7, []byte("nobody"))
-	sender.Tell(1, make([]byte, MaxMessage+1))
+	sender.SendToPeer(1, []byte("hello"))
+	sender.SendToPeer(7, []byte("nobody"))
+	sender.SendToPeer(1, make([]byte, MaxMessage+1))
 	buf := make([]byte, maxDatagram)
 	_ = tap.SetReadDeadline(time.Now().Add(20 * time.Second))
 	n, _, err := tap.ReadFromUDP(buf)
@@ -124,7 +124,7 @@
 			t.Fatal(err)
 		}
 	}
-	transport.Tell(1, []byte("echo")) // to itself
+	transport.SendToPeer(1, []byte("echo")) // to itself
 	waitFor(t, func() bool { c := transport.Counts(); return c.Received == 3 && c.Foreign == 2 && c.Misdirected == 1 })
 	got.mu.Lock()
 	if len(got.messages) != 3 || got.messages[0] != "0"+string(bytes.Repeat([]byte{'m'}, MaxPlainMessage)) || got.messages[1] != "2" || got.messages[2] != "2m" {
@@ -139,11 +139,11 @@
 			t.Errorf("got %q from %v, %v, want %q", buf[:n], from, err, want)
 		}
 	}
-	transport.Tell(2, []byte("two"))
+	transport.SendToPeer(2, []byte("two"))
 	expect(third, "two")
-	transport.Tell(policy.Broadcast, []byte("all"))
+	transport.SendToPeer(policy.Broadcast, []byte("all"))
 	expect(broadcast, "all")
-	transport.Tell(0, bytes.Repeat([]byte{'m'}, MaxPlainMessage+1))
+	transport.SendToPeer(0, bytes.Repeat([]byte{'m'}, MaxPlainMessage+1))
 	waitFor(t, func() bool { return transport.Counts().Unsent == 1 })
 	for _, bad := range [][2]string{{"x", ""}, {self, "x"}} {
 		if _, err := OpenPlain(bad[0], peers, bad[1], 1, got, zerolog.Nop()); err == nil {
--- a/internal/syserr/syserr.go
+++ b/internal/syserr/syserr.go
@@ -20,12 +20,12 @@
 		unix.ENOSPC) // of epoll_ctl: this user watches as many descriptors as the system allows
 }
 
-// Busy tells that an address could not be listened on just now: this machine lacks something, or a process on its way out
+// ListenRetryable tells that an address could not be listened on just now: this machine lacks something, or a process on its way out
 // still holds the address.
-func Busy(err error) bool { return Local(err) || anyOf(err, unix.EADDRINUSE) }
+func ListenRetryable(err error) bool { return Local(err) || anyOf(err, unix.EADDRINUSE) }
 
-// Storage tells that a file could not be read or written just now. The same call may succeed later.
-func Storage(err error) bool {
+// StorageRetryable tells that a file could not be read or written just now. The same call may succeed later.
+func StorageRetryable(err error) bool {
 	return Transient(err) || anyOf(err, unix.EIO, unix.ENOSPC, unix.EDQUOT, unix.EROFS)
 }
 
--- a/internal/syserr/syserr_test.go
+++ b/internal/syserr/syserr_test.go
@@ -32,8 +32,8 @@
 		{unix.ECONNRESET, false, false, false},
 		{unix.ENOENT, false, false, false},
 	} {
-		if Transient(c.err) != c.transient || Local(c.err) != c.local || Storage(c.err) != c.storage {
-			t.Errorf("%v: %v %v %v, want %v %v %v", c.err, Transient(c.err), Local(c.err), Storage(c.err), c.transient, c.local, c.storage)
+		if Transient(c.err) != c.transient || Local(c.err) != c.local || StorageRetryable(c.err) != c.storage {
+			t.Errorf("%v: %v %v %v, want %v %v %v", c.err, Transient(c.err), Local(c.err), StorageRetryable(c.err), c.transient, c.local, c.storage)
 		}
 	}
 }
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -80,7 +80,7 @@
 var effects = map[string]policy.Effect{"retryable": policy.Safe, "dedup": policy.Keyed, "fragile": policy.Unsafe}
 
 // keyScopes maps the values of the key keyScope.
-var keyScopes = map[string]policy.Scope{"": policy.ScopeAll, "all": policy.ScopeAll, "zone": policy.ScopeZone,
+var keyScopes = map[string]policy.KeyScope{"": policy.ScopeAll, "all": policy.ScopeAll, "zone": policy.ScopeZone,
 	"cell": policy.ScopeCell}
 
 // Settings are the settings of an instance: those of the policy module, and those of the connections.
@@ -103,15 +103,15 @@
 		AttemptsPerConnection: wire.Limits.Multiplex,
 		MaxOpenRequests:       wire.Limits.MostHeld}
 	settings.Settings = policy.Settings{
-		Me: wire.Me, Gateways: wire.Balancers, Zone: wire.MyZone,
-		MaxUnits: wire.FamilyInfo.MaxUnits, TrueUp: wire.FamilyInfo.TruedUp, PeerIntake: wire.FamilyInfo.PeerIntake,
-		Peers: wire.Limits.PeerMessages, Probes: wire.Limits.Probes, Cancel: wire.Limits.Cancel,
-		Parallel: wire.Limits.ParallelTries, RetryAfter: wire.Limits.RetryAfter,
+		Self: wire.Me, Gateways: wire.Balancers, Zone: wire.MyZone,
+		MaxUnits: wire.FamilyInfo.MaxUnits, UnitsFromAnswer: wire.FamilyInfo.TruedUp, PeerMessagesPerS: wire.FamilyInfo.PeerIntake,
+		PeerMessages: wire.Limits.PeerMessages, Probes: wire.Limits.Probes, Cancel: wire.Limits.Cancel,
+		ParallelAttempts: wire.Limits.ParallelTries, RetryAfter: wire.Limits.RetryAfter,
 		MaxAttempts: wire.Limits.MaxAttempts, MaxRetryAfterS: wire.Limits.MaxRetryAfterS,
-		ReportByProbe: wire.Feedback.How == "probe", ReportByAnswer: wire.Feedback.How == "answers",
-		AnswerSlackS: wire.Rules.AnswerSlackS, ColdFrom: wire.Rules.ColdFrom, ColdS: wire.Rules.ColdS,
-		FallMultiple: wire.Rules.FallMultiple, FallS: wire.Rules.FallS,
-		TickS: wire.TickS, CrossZonePrice: wire.Prices.CrossZone, WorstPlanWeight: wire.ScoreParts.WorstTenant,
+		LoadFromProbes: wire.Feedback.How == "probe", LoadFromAnswers: wire.Feedback.How == "answers",
+		AnswerSlackS: wire.Rules.AnswerSlackS, ColdStartShare: wire.Rules.ColdFrom, ColdPeriodS: wire.Rules.ColdS,
+		OverloadMultiple: wire.Rules.FallMultiple, OverloadWindowS: wire.Rules.FallS,
+		TickS: wire.TickS, CrossZoneCost: wire.Prices.CrossZone, WorstPlanWeight: wire.ScoreParts.WorstTenant,
 	}
 	for _, profile := range wire.Profiles {
 		effect, ok := effects[profile.Effect]
@@ -122,13 +122,13 @@
 		if !ok {
 			return settings, fmt.Errorf("class %s: unknown keyScope %q", profile.Name, profile.KeyScope)
 		}
-		settings.Classes = append(settings.Classes, policy.Class{Name: profile.Name, AimS: profile.AimS, AimStretch: profile.AimStretch,
-			DeadlineS: profile.DeadlineS, Worth: profile.Worth, LateWorth: profile.LateWorth, Effect: effect, KeyScope: scope,
+		settings.Classes = append(settings.Classes, policy.Class{Name: profile.Name, TargetLatencyS: profile.AimS, TargetLatencyStretch: profile.AimStretch,
+			DeadlineS: profile.DeadlineS, Value: profile.Worth, LateValueShare: profile.LateWorth, Effect: effect, KeyScope: scope,
 			KeyTTLS: profile.KeyTTLS, Stream: profile.Stream})
 	}
 	for _, plan := range wire.Packages {
 		settings.Plans = append(settings.Plans, policy.Plan{Name: plan.Name, Rate: plan.UnitsPerS, Burst: plan.PeakUnits,
-			Parallel: plan.Parallel, Price: plan.Pays, ExtraWorth: plan.ExtraWorth, ExcessCost: plan.ExcessCost,
+			MaxParallel: plan.Parallel, ValueFactor: plan.Pays, ExtraValueShare: plan.ExtraWorth, ExcessCostShare: plan.ExcessCost,
 			CeilingRate: plan.HardRate, CeilingBurst: plan.CapDepth, CeilingSlack: plan.CeilingSlack})
 	}
 	return settings, nil
