--- a/internal/edge/trace.go
+++ b/internal/edge/trace.go
@@ -12,94 +12,98 @@
 	"cometpond/policy"
 )
 
-// Times between two lines of totals.
+// Intervals between two log lines of totals, without and with the trace.
 const (
-	totalsEvery      = 10 * time.Second
-	totalsEveryTrace = time.Second
+	totalsInterval      = 10 * time.Second
+	traceTotalsInterval = time.Second
 )
 
-var kinds = map[core.AnswerKind]string{core.Served: "served", core.Refused: "refused", core.Failed: "failed", core.Admitted: "admitted"}
+// answerEvents are the messages with which the trace logs the answers to requests.
+var answerEvents = map[core.AnswerKind]string{core.Served: "served", core.Refused: "refused", core.Failed: "failed", core.Admitted: "admitted"}
 
-// traceRequests logs each step in the life of a request. It is for a look at one run: it costs more than the requests do.
+// traceRequests returns an observer that logs each step in the processing of a request. It is for the diagnosis of a
+// single run: logging costs more than the requests themselves.
 func traceRequests(log zerolog.Logger) func(core.Event) {
-	return func(n core.Event) {
-		line := log.Info().Str("id", n.ID).Str("customer", n.Customer)
-		switch n.Kind {
+	return func(note core.Event) {
+		line := log.Info().Str("id", note.ID).Str("customer", note.Customer)
+		switch note.Kind {
 		case core.AttemptSent:
-			line.Int("attempt", n.Attempt).Str("server", n.Server).Float64("within", n.TimeoutS).Msg("attempt sent")
+			line.Int("attempt", note.Attempt).Str("server", note.Server).Float64("within", note.TimeoutS).Msg("attempt sent")
 		case core.AttemptEnded:
-			line.Int("attempt", n.Attempt).Str("server", n.Server).Float64("took", n.ElapsedS).Stringer("status", n.Status).Msg("attempt ended")
+			line.Int("attempt", note.Attempt).Str("server", note.Server).Float64("took", note.ElapsedS).Stringer("status", note.Status).
+				Msg("attempt ended")
 		case core.CallAnswered:
-			line.Float64("within", n.TimeoutS).Float64("took", n.ElapsedS).Str("why", n.Answer.Detail).Msg(kinds[n.Answer.Kind])
+			line.Float64("within", note.TimeoutS).Float64("took", note.ElapsedS).Str("why", note.Answer.Detail).Msg(answerEvents[note.Answer.Kind])
 		case core.ClientDisconnected:
-			line.Float64("took", n.ElapsedS).Msg("client left")
+			line.Float64("took", note.ElapsedS).Msg("client left")
 		}
 	}
 }
 
-// tracedBackends logs each attempt as it is about to be written.
-type tracedBackends struct {
+// tracingProtocol wraps the server protocol and logs each attempt right before it is written.
+type tracingProtocol struct {
 	backend.Dialect
 	log zerolog.Logger
 }
 
-// AppendAttempt logs an attempt by the customer and the id in its command, and passes it on.
-func (t *tracedBackends) AppendAttempt(dst, payload []byte, leftS float64) []byte {
+// AppendAttempt logs the customer and the request id in the attempt's command, then calls the wrapped protocol.
+func (tracing *tracingProtocol) AppendAttempt(dst, payload []byte, remainingS float64) []byte {
 	if words := bytes.Fields(payload[:min(len(payload), 128)]); len(words) > 6 {
-		t.log.Info().Bytes("customer", words[4]).Bytes("id", words[6]).Float64("left", leftS).Msg("attempt written")
+		tracing.log.Info().Bytes("customer", words[4]).Bytes("id", words[6]).Float64("left", remainingS).Msg("attempt written")
 	}
-	return t.Dialect.AppendAttempt(dst, payload, leftS)
+	return tracing.Dialect.AppendAttempt(dst, payload, remainingS)
 }
 
-// watch logs totals until ctx is over, and with a trace what the module holds of each server.
-func (e *Edge) watch(ctx context.Context) {
-	every := totalsEvery
-	if e.cfg.Trace {
-		every = totalsEveryTrace
+// logPeriodically logs the totals, and with the trace the state of each server, until ctx is done.
+func (ingress *Ingress) logPeriodically(ctx context.Context) {
+	interval := totalsInterval
+	if ingress.cfg.Trace {
+		interval = traceTotalsInterval
 	}
-	tick := time.NewTicker(every)
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			e.logTotals()
+			ingress.logTotals()
 			return
 		case <-tick.C:
 		}
-		if e.cfg.Trace {
-			e.logBeliefs()
+		if ingress.cfg.Trace {
+			ingress.logServerStates()
 		}
-		e.logTotals()
+		ingress.logTotals()
 	}
 }
 
-// logBeliefs logs what the module holds of each server beside what its connections carry.
-func (e *Edge) logBeliefs() {
-	held := e.pool.ConnectionStats()
-	for _, b := range e.loop.ServerEstimates() {
-		h := held[b.Server.ID]
-		e.log.Info().Str("server", b.Server.ID).Int("state", int(b.Server.State)).Int("believed_out", b.InFlight).Int("out", h.InFlight).
-			Int("connections", h.Connections).Int("idle", h.Idle).Int("given_up", h.Cancelled).Float64("speed", b.LatencyRatio).
-			Float64("sick", b.Suspicion).Float64("util", b.Util).Float64("util_age", b.UtilAgeS).Msg("belief")
+// logServerStates logs the state of each server as the policy module estimates it, next to the state of the connections.
+func (ingress *Ingress) logServerStates() {
+	pool := ingress.pool.ConnectionStats()
+	for _, estimate := range ingress.loop.ServerEstimates() {
+		actual := pool[estimate.Server.ID]
+		ingress.log.Info().Str("server", estimate.Server.ID).Int("state", int(estimate.Server.State)).
+			Int("believed_out", estimate.InFlight).Int("out", actual.InFlight).
+			Int("connections", actual.Connections).Int("idle", actual.Idle).Int("given_up", actual.Cancelled).Float64("speed", estimate.LatencyRatio).
+			Float64("sick", estimate.Suspicion).Float64("util", estimate.Util).Float64("util_age", estimate.UtilAgeS).Msg("belief")
 	}
 }
 
-// logTotals logs the counts since the start.
-func (e *Edge) logTotals() {
-	s, p, c := e.loop.Status(), e.pool.Counts(), e.front.Counts()
-	lists, failed := e.disc.Counts()
+// logTotals logs the totals since the start. The names of the attributes are read by operators' tools.
+func (ingress *Ingress) logTotals() {
+	status, pool, clients := ingress.loop.Status(), ingress.pool.Counts(), ingress.front.Counts()
+	lists, failed := ingress.discovery.Counts()
 	refused := zerolog.Dict()
-	for why, n := range s.RefusedByReason {
+	for reason, n := range status.RefusedByReason {
 		if n > 0 {
-			refused.Uint64(policy.Refusal(why).String(), n)
+			refused.Uint64(policy.Refusal(reason).String(), n)
 		}
 	}
-	e.log.Info().Uint64("lists", lists).Uint64("lists_failed", failed).Uint64("taken", s.Received).Uint64("served", s.Served).
-		Uint64("refused", s.Refused).Dict("refused_for", refused).Uint64("failed", s.Failed).Uint64("gone", s.Disconnected).
-		Uint64("too_late", s.DeadlinePassed).Uint64("overfull", s.Overloaded).Uint64("overdue", s.Overdue).Uint64("late", s.LateResults).
-		Uint64("attempts", s.Attempts).Uint64("timeouts", s.Timeouts).Uint64("stalls", e.stalls.PauseCount()).
-		Int("held", s.OpenRequests).Int("waiting", s.QueuedCalls).Uint64("dials", p.Dials).Uint64("dials_failed", p.DialsFailed).
-		Uint64("broken", p.AttemptsBroken).Int64("box_connections", p.OpenConnections).Int("client_connections", e.front.OpenConnections()).
-		Uint64("opened", c.Opened).Uint64("cut", c.Terminated).Uint64("evicted", c.Evicted).Uint64("parked", c.ReadsPaused).
-		Uint64("ended_with_open_requests", c.Abandoned).Msg("totals")
+	ingress.log.Info().Uint64("lists", lists).Uint64("lists_failed", failed).Uint64("taken", status.Received).Uint64("served", status.Served).
+		Uint64("refused", status.Refused).Dict("refused_for", refused).Uint64("failed", status.Failed).Uint64("gone", status.Disconnected).
+		Uint64("too_late", status.DeadlinePassed).Uint64("overfull", status.Overloaded).Uint64("overdue", status.Overdue).Uint64("late", status.LateResults).
+		Uint64("attempts", status.Attempts).Uint64("timeouts", status.Timeouts).Uint64("stalls", ingress.pauses.PauseCount()).
+		Int("held", status.OpenRequests).Int("waiting", status.QueuedCalls).Uint64("dials", pool.Dials).Uint64("dials_failed", pool.DialsFailed).
+		Uint64("broken", pool.AttemptsBroken).Int64("box_connections", pool.OpenConnections).Int("client_connections", ingress.front.OpenConnections()).
+		Uint64("opened", clients.Opened).Uint64("cut", clients.Terminated).Uint64("evicted", clients.Evicted).Uint64("parked", clients.ReadsPaused).
+		Uint64("ended_with_open_requests", clients.Abandoned).Msg("totals")
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -17,205 +17,210 @@
 	"cometpond/policy"
 )
 
-// Sink takes messages of other instances.
+// Sink receives the messages of other instances.
 type Sink interface {
-	QueueMessage(from int, data []byte)
+	QueueMessage(from int, data []byte) // takes an accepted message and the number of the instance that sent it
 }
 
 // Counts are totals since the start.
 type Counts struct {
-	Sent, Unsent, Received              uint64 // unsent: the queue was full, or the system would not send
-	Foreign, Replayed, Old, Misdirected uint64
+	Sent, Unsent, Received              uint64 // unsent: too long, unknown receiver, full queue, or failed to send
+	Foreign, Replayed, Old, Misdirected uint64 // received datagrams that were dropped, see ErrForeign and the other errors
 }
 
-// mostUnsent bounds the datagrams that wait to be sent; one more is lost, as the network may lose it.
-const mostUnsent = 1 << 12
+// sendQueueSize limits the datagrams that wait to be sent. A further one is dropped; the sender must expect losses anyway,
+// because the network may lose datagrams.
+const sendQueueSize = 1 << 12
 
-// Transport is this instance's socket to the others.
+// Transport exchanges messages with the other instances over a UDP socket.
 type Transport struct {
-	conn  *net.UDPConn
-	me    int
-	addrs []*net.UDPAddr
-	sink  Sink
-	log   zerolog.Logger
-	out   chan outgoing
-	all   *net.UDPAddr // reaches all others with one datagram, nil: there is no such address
-	mu    sync.Mutex   // covers seal: datagrams are sealed and opened on goroutines of their own
-	seal  envelope
-
-	sent, unsent, heard, foreign, replayed, old, wrongWay atomic.Uint64
+	conn          *net.UDPConn
+	self          int
+	addrs         []*net.UDPAddr // by instance
+	sink          Sink
+	log           zerolog.Logger
+	queue         chan outgoing
+	broadcastAddr *net.UDPAddr // broadcast address that reaches all other instances, nil for none
+	mu            sync.Mutex   // guards envelope: sending and receiving run on separate goroutines
+	envelope      envelope
+
+	sent, unsent, received, foreign, replayed, old, misdirected atomic.Uint64
 }
 
-// envelope is what a message travels in.
+// envelope is the format of datagrams.
 type envelope interface {
-	// seal returns the datagram that carries a message; nowNS is the wall clock in nanoseconds.
+	// seal returns the datagram that carries a message, nil if the message can't be sent; nowNS is the wall clock in
+	// nanoseconds.
 	seal(to int, message []byte, nowNS int64) []byte
 	// open returns the sender and the message of a datagram.
-	open(b []byte, source netip.AddrPort, nowNS int64) (from int, message []byte, err error)
+	open(datagram []byte, source netip.AddrPort, nowNS int64) (from int, message []byte, err error)
 }
 
+// outgoing is a message in the send queue.
 type outgoing struct {
 	to   int
 	data []byte
 }
 
-// OpenSealed binds this instance's address.
-func OpenSealed(c *config.Config, sink Sink, log zerolog.Logger) (*Transport, error) {
-	l := &Transport{me: c.Self, sink: sink, log: log, out: make(chan outgoing, mostUnsent)}
-	for _, i := range c.Instances {
-		a, err := net.ResolveUDPAddr("udp", i.PeerAddress)
+// OpenSealed binds the address of this instance for messages that are encrypted and authenticated.
+func OpenSealed(cfg *config.Config, sink Sink, log zerolog.Logger) (*Transport, error) {
+	transport := &Transport{self: cfg.Self, sink: sink, log: log, queue: make(chan outgoing, sendQueueSize)}
+	for _, instance := range cfg.Instances {
+		addr, err := net.ResolveUDPAddr("udp", instance.PeerAddress)
 		if err != nil {
-			return nil, fmt.Errorf("instance %d: %w", i.Number, err)
+			return nil, fmt.Errorf("instance %d: %w", instance.Number, err)
 		}
-		l.addrs = append(l.addrs, a)
+		transport.addrs = append(transport.addrs, addr)
 	}
 	var err error
-	if l.seal, err = newSealer(c.PeerKey, c.Self, len(c.Instances), uint64(time.Now().UnixNano())); err != nil {
+	if transport.envelope, err = newSealer(cfg.PeerKey, cfg.Self, len(cfg.Instances), uint64(time.Now().UnixNano())); err != nil {
 		return nil, err
 	}
-	if err = l.listen(l.addrs[c.Self]); err != nil {
+	if err = transport.listen(transport.addrs[cfg.Self]); err != nil {
 		return nil, err
 	}
-	return l, nil
+	return transport, nil
 }
 
-// OpenPlain binds listen for messages that are not sealed, on a network where nobody else can send: a datagram is
-// believed if it comes from the address of another instance. Peers holds an address for each instance, me's own
-// included, and all one that reaches every other, "" for none.
-func OpenPlain(listen string, peers []string, all string, me int, sink Sink, log zerolog.Logger) (*Transport, error) {
-	l := &Transport{me: me, sink: sink, log: log, out: make(chan outgoing, mostUnsent)}
-	p := plain{me: me, from: map[netip.AddrPort]int{}}
-	for i, s := range peers {
-		a, err := net.ResolveUDPAddr("udp", s)
+// OpenPlain binds the address listen for messages that are not sealed. It is for a network on which nobody else can send: a
+// datagram is accepted if it comes from the address of another instance. Peers has the address of each instance, including
+// this one; broadcast is an address that reaches all others, "" for none.
+func OpenPlain(listen string, peers []string, broadcast string, self int, sink Sink, log zerolog.Logger) (*Transport, error) {
+	transport := &Transport{self: self, sink: sink, log: log, queue: make(chan outgoing, sendQueueSize)}
+	format := plainEnvelope{self: self, senders: map[netip.AddrPort]int{}}
+	for i, peer := range peers {
+		addr, err := net.ResolveUDPAddr("udp", peer)
 		if err != nil {
 			return nil, fmt.Errorf("peer %d: %w", i, err)
 		}
-		l.addrs = append(l.addrs, a)
-		p.from[key(a.AddrPort())] = i
+		transport.addrs = append(transport.addrs, addr)
+		format.senders[unmap(addr.AddrPort())] = i
 	}
-	if all != "" {
-		a, err := net.ResolveUDPAddr("udp", all)
+	if broadcast != "" {
+		addr, err := net.ResolveUDPAddr("udp", broadcast)
 		if err != nil {
-			return nil, fmt.Errorf("address of all peers: %w", err)
+			return nil, fmt.Errorf("broadcast address of the peers: %w", err)
 		}
-		l.all = a
+		transport.broadcastAddr = addr
 	}
-	at, err := net.ResolveUDPAddr("udp", listen)
+	listenAddr, err := net.ResolveUDPAddr("udp", listen)
 	if err != nil {
-		return nil, fmt.Errorf("address for other instances: %w", err)
+		return nil, fmt.Errorf("listen address for peers: %w", err)
 	}
-	if err = l.listen(at); err != nil {
+	if err = transport.listen(listenAddr); err != nil {
 		return nil, err
 	}
-	l.seal = p
-	return l, nil
+	transport.envelope = format
+	return transport, nil
 }
 
-// Times of tries after errors of the system.
+// Timing of retries after system errors: how long binding the address is retried, and the delay after a failed read.
 const (
-	listenFor = 2 * time.Second
-	readPause = time.Millisecond
+	listenRetryPeriod = 2 * time.Second
+	readRetryDelay    = time.Millisecond
 )
 
-// listen binds the socket. What is wanting for a moment is waited for, and so is an address that a process on its way out
-// still holds.
-func (l *Transport) listen(at *net.UDPAddr) error {
-	ctx, cancel := context.WithTimeout(context.Background(), listenFor)
+// listen binds the socket. It retries if the system is short of a resource, and if the address is still in use by a process
+// that is exiting.
+func (transport *Transport) listen(addr *net.UDPAddr) error {
+	ctx, cancel := context.WithTimeout(context.Background(), listenRetryPeriod)
 	defer cancel()
 	err := syserr.Retry(ctx, syserr.ListenRetryable, func() (err error) {
-		l.conn, err = net.ListenUDP("udp", at)
+		transport.conn, err = net.ListenUDP("udp", addr)
 		return err
 	})
 	if err != nil {
-		return fmt.Errorf("socket for other instances: %w", err)
+		return fmt.Errorf("could not open the socket for peers: %w", err)
 	}
 	return nil
 }
 
-// SendToPeer sends a message to one instance, or to all others with policy.Broadcast; it never blocks.
-func (l *Transport) SendToPeer(instance int, data []byte) {
-	if instance == policy.Broadcast && l.all == nil {
-		for i := range l.addrs {
-			if i != l.me {
-				l.SendToPeer(i, data)
+// SendToPeer queues a message for one instance, or for all others with policy.Broadcast. It never blocks; the message may be lost.
+func (transport *Transport) SendToPeer(instance int, data []byte) {
+	if instance == policy.Broadcast && transport.broadcastAddr == nil {
+		for i := range transport.addrs {
+			if i != transport.self {
+				transport.SendToPeer(i, data)
 			}
 		}
 		return
 	}
-	if instance != policy.Broadcast && (instance < 0 || instance >= len(l.addrs)) || len(data) > MaxMessage {
-		l.unsent.Add(1)
+	if instance != policy.Broadcast && (instance < 0 || instance >= len(transport.addrs)) || len(data) > MaxMessage {
+		transport.unsent.Add(1)
 		return
 	}
 	select {
-	case l.out <- outgoing{instance, data}:
+	case transport.queue <- outgoing{instance, data}:
 	default:
-		l.unsent.Add(1)
+		transport.unsent.Add(1)
 	}
 }
 
-// Run sends and receives until ctx is over, then closes the socket.
-func (l *Transport) Run(ctx context.Context) {
+// Run sends and receives messages until ctx is done, then closes the socket.
+func (transport *Transport) Run(ctx context.Context) {
 	var reader sync.WaitGroup
 	reader.Add(1)
 	go func() {
 		defer reader.Done()
-		l.read()
+		transport.receive()
 	}()
 	for {
 		select {
-		case o := <-l.out:
-			l.mu.Lock()
-			b := l.seal.seal(o.to, o.data, time.Now().UnixNano())
-			l.mu.Unlock()
-			to := l.all
-			if o.to != policy.Broadcast {
-				to = l.addrs[o.to]
+		case message := <-transport.queue:
+			transport.mu.Lock()
+			datagram := transport.envelope.seal(message.to, message.data, time.Now().UnixNano())
+			transport.mu.Unlock()
+			addr := transport.broadcastAddr
+			if message.to != policy.Broadcast {
+				addr = transport.addrs[message.to]
 			}
-			if b == nil {
-				l.unsent.Add(1)
-			} else if _, err := l.conn.WriteToUDP(b, to); err != nil {
-				l.unsent.Add(1) // as lost as any: the module tells again
+			if datagram == nil {
+				transport.unsent.Add(1)
+			} else if _, err := transport.conn.WriteToUDP(datagram, addr); err != nil {
+				transport.unsent.Add(1) // not retried: like after any loss, the policy module sends its state again
 			} else {
-				l.sent.Add(1)
+				transport.sent.Add(1)
 			}
 		case <-ctx.Done():
-			l.conn.Close() // ends the reader
+			transport.conn.Close() // ends receive
 			reader.Wait()
 			return
 		}
 	}
 }
 
-func (l *Transport) read() {
-	buf := make([]byte, maxPacket+1)
+// receive passes the messages of accepted datagrams to the sink until the socket is closed.
+func (transport *Transport) receive() {
+	buf := make([]byte, maxDatagram+1)
 	for {
-		n, source, err := l.conn.ReadFromUDPAddrPort(buf)
+		n, source, err := transport.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
-		} else if err != nil { // an ICMP error of an earlier send, or the system is short of something
-			time.Sleep(readPause)
+		} else if err != nil { // an ICMP error in response to an earlier send, or the system is short of a resource
+			time.Sleep(readRetryDelay)
 			continue
 		}
-		l.mu.Lock()
-		from, message, err := l.seal.open(buf[:n], source, time.Now().UnixNano())
-		l.mu.Unlock()
+		transport.mu.Lock()
+		from, message, err := transport.envelope.open(buf[:n], source, time.Now().UnixNano())
+		transport.mu.Unlock()
 		switch {
 		case err == nil:
-			l.heard.Add(1)
-			l.sink.QueueMessage(from, message)
+			transport.received.Add(1)
+			transport.sink.QueueMessage(from, message)
 		case errors.Is(err, ErrReplayed):
-			l.replayed.Add(1)
+			transport.replayed.Add(1)
 		case errors.Is(err, ErrOld):
-			l.old.Add(1)
-		case errors.Is(err, ErrWrongWay):
-			l.wrongWay.Add(1)
+			transport.old.Add(1)
+		case errors.Is(err, ErrMisdirected):
+			transport.misdirected.Add(1)
 		default:
-			l.foreign.Add(1)
+			transport.foreign.Add(1)
 		}
 	}
 }
 
 // Counts returns the totals so far.
-func (l *Transport) Counts() Counts {
-	return Counts{l.sent.Load(), l.unsent.Load(), l.heard.Load(), l.foreign.Load(), l.replayed.Load(), l.old.Load(), l.wrongWay.Load()}
+func (transport *Transport) Counts() Counts {
+	return Counts{transport.sent.Load(), transport.unsent.Load(), transport.received.Load(), transport.foreign.Load(),
+		transport.replayed.Load(), transport.old.Load(), transport.misdirected.Load()}
 }
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -1,5 +1,5 @@
-// Package terms reads the settings object that the simulator hands to an instance, and that a real ingress finds in
-// its configuration: one translation for both.
+// Package terms translates the settings object of the platform into the settings of the policy module. The simulator
+// hands the object to each instance, and an ingress finds it in its configuration file; both use this translation.
 package terms
 
 import (
@@ -9,8 +9,9 @@
 	"cometpond/policy"
 )
 
-// object is the settings object as the wire words it; unknown keys are skipped.
-type object struct {
+// wireSettings is the settings object in its JSON form. Unknown keys are ignored. The fields are named like the keys; Parse
+// maps them to the names that the rest of the code uses.
+type wireSettings struct {
 	Balancers  int    `json:"balancers"`
 	Me         int    `json:"me"`
 	MyZone     string `json:"myZone"`
@@ -75,57 +76,60 @@
 	TickS float64 `json:"tickS"`
 }
 
+// effects maps the values of the key effect.
 var effects = map[string]policy.Effect{"retryable": policy.Safe, "dedup": policy.Keyed, "fragile": policy.Unsafe}
 
-var scopes = map[string]policy.KeyScope{"": policy.ScopeAll, "all": policy.ScopeAll, "zone": policy.ScopeZone,
+// keyScopes maps the values of the key keyScope.
+var keyScopes = map[string]policy.KeyScope{"": policy.ScopeAll, "all": policy.ScopeAll, "zone": policy.ScopeZone,
 	"cell": policy.ScopeCell}
 
-// Settings are the settings of an instance: those of the module, and what the network's side needs besides.
+// Settings are the settings of an instance: those of the policy module, and those of the connections.
 type Settings struct {
 	policy.Settings
-	ConnIdleS    float64 // a server closes a connection that stood idle for so long, seconds; 0: never
-	DialTimeoutS float64 // until a connection stands, seconds
-	Multiplex    int     // attempts that one connection carries at once
-	MostHeld     int     // requests that an instance may have open, 0: not bounded
+	ConnIdleTimeoutS      float64 // a server closes a connection that was idle for so long, in seconds; 0: never
+	DialTimeoutS          float64 // timeout for opening a connection, in seconds
+	AttemptsPerConnection int     // attempts that one connection carries at once
+	MaxOpenRequests       int     // maximum number of open requests of an instance, 0: unlimited
 }
 
-// Parse translates the settings. It tells which part has the wrong form; whether the module's part makes sense is for
-// policy.New to say.
+// Parse translates the settings object. Its error names a part of the wrong type or with an unknown value. The values of the
+// module's settings are checked by policy.New.
 func Parse(text []byte) (Settings, error) {
-	var w object
-	if err := json.Unmarshal(text, &w); err != nil {
+	var wire wireSettings
+	if err := json.Unmarshal(text, &wire); err != nil {
 		return Settings{}, err
 	}
-	t := Settings{ConnIdleS: w.Limits.ConnIdleS, DialTimeoutS: w.Limits.DialTimeoutS, Multiplex: w.Limits.Multiplex,
-		MostHeld: w.Limits.MostHeld}
-	t.Settings = policy.Settings{
-		Self: w.Me, Gateways: w.Balancers, Zone: w.MyZone,
-		MaxUnits: w.FamilyInfo.MaxUnits, UnitsFromAnswer: w.FamilyInfo.TruedUp, PeerMessagesPerS: w.FamilyInfo.PeerIntake,
-		PeerMessages: w.Limits.PeerMessages, Probes: w.Limits.Probes, Cancel: w.Limits.Cancel,
-		ParallelAttempts: w.Limits.ParallelTries, RetryAfter: w.Limits.RetryAfter,
-		MaxAttempts: w.Limits.MaxAttempts, MaxRetryAfterS: w.Limits.MaxRetryAfterS,
-		LoadFromProbes: w.Feedback.How == "probe", LoadFromAnswers: w.Feedback.How == "answers",
-		AnswerSlackS: w.Rules.AnswerSlackS, ColdStartShare: w.Rules.ColdFrom, ColdPeriodS: w.Rules.ColdS,
-		OverloadMultiple: w.Rules.FallMultiple, OverloadWindowS: w.Rules.FallS,
-		TickS: w.TickS, CrossZoneCost: w.Prices.CrossZone, WorstPlanWeight: w.ScoreParts.WorstTenant,
+	settings := Settings{ConnIdleTimeoutS: wire.Limits.ConnIdleS, DialTimeoutS: wire.Limits.DialTimeoutS,
+		AttemptsPerConnection: wire.Limits.Multiplex,
+		MaxOpenRequests:       wire.Limits.MostHeld}
+	settings.Settings = policy.Settings{
+		Self: wire.Me, Gateways: wire.Balancers, Zone: wire.MyZone,
+		MaxUnits: wire.FamilyInfo.MaxUnits, UnitsFromAnswer: wire.FamilyInfo.TruedUp, PeerMessagesPerS: wire.FamilyInfo.PeerIntake,
+		PeerMessages: wire.Limits.PeerMessages, Probes: wire.Limits.Probes, Cancel: wire.Limits.Cancel,
+		ParallelAttempts: wire.Limits.ParallelTries, RetryAfter: wire.Limits.RetryAfter,
+		MaxAttempts: wire.Limits.MaxAttempts, MaxRetryAfterS: wire.Limits.MaxRetryAfterS,
+		LoadFromProbes: wire.Feedback.How == "probe", LoadFromAnswers: wire.Feedback.How == "answers",
+		AnswerSlackS: wire.Rules.AnswerSlackS, ColdStartShare: wire.Rules.ColdFrom, ColdPeriodS: wire.Rules.ColdS,
+		OverloadMultiple: wire.Rules.FallMultiple, OverloadWindowS: wire.Rules.FallS,
+		TickS: wire.TickS, CrossZoneCost: wire.Prices.CrossZone, WorstPlanWeight: wire.ScoreParts.WorstTenant,
 	}
-	for _, p := range w.Profiles {
-		effect, ok := effects[p.Effect]
+	for _, profile := range wire.Profiles {
+		effect, ok := effects[profile.Effect]
 		if !ok {
-			return t, fmt.Errorf("class %s: unknown effect %q", p.Name, p.Effect)
+			return settings, fmt.Errorf("class %s: unknown effect %q", profile.Name, profile.Effect)
 		}
-		scope, ok := scopes[p.KeyScope]
+		scope, ok := keyScopes[profile.KeyScope]
 		if !ok {
-			return t, fmt.Errorf("class %s: unknown keyScope %q", p.Name, p.KeyScope)
+			return settings, fmt.Errorf("class %s: unknown keyScope %q", profile.Name, profile.KeyScope)
 		}
-		t.Classes = append(t.Classes, policy.Class{Name: p.Name, TargetLatencyS: p.AimS, TargetLatencyStretch: p.AimStretch,
-			DeadlineS: p.DeadlineS, Value: p.Worth, LateValueShare: p.LateWorth, Effect: effect, KeyScope: scope,
-			KeyTTLS: p.KeyTTLS, Stream: p.Stream})
+		settings.Classes = append(settings.Classes, policy.Class{Name: profile.Name, TargetLatencyS: profile.AimS, TargetLatencyStretch: profile.AimStretch,
+			DeadlineS: profile.DeadlineS, Value: profile.Worth, LateValueShare: profile.LateWorth, Effect: effect, KeyScope: scope,
+			KeyTTLS: profile.KeyTTLS, Stream: profile.Stream})
 	}
-	for _, p := range w.Packages {
-		t.Plans = append(t.Plans, policy.Plan{Name: p.Name, Rate: p.UnitsPerS, Burst: p.PeakUnits,
-			MaxParallel: p.Parallel, ValueFactor: p.Pays, ExtraValueShare: p.ExtraWorth, ExcessCostShare: p.ExcessCost,
-			CeilingRate: p.HardRate, CeilingBurst: p.CapDepth, CeilingSlack: p.CeilingSlack})
+	for _, plan := range wire.Packages {
+		settings.Plans = append(settings.Plans, policy.Plan{Name: plan.Name, Rate: plan.UnitsPerS, Burst: plan.PeakUnits,
+			MaxParallel: plan.Parallel, ValueFactor: plan.Pays, ExtraValueShare: plan.ExtraWorth, ExcessCostShare: plan.ExcessCost,
+			CeilingRate: plan.HardRate, CeilingBurst: plan.CapDepth, CeilingSlack: plan.CeilingSlack})
 	}
-	return t, nil
+	return settings, nil
 }
