--- a/internal/access/access.go
+++ b/internal/access/access.go
@@ -36,9 +36,9 @@
 // New returns the book of a settings file.
 func New(c *config.Config) *Book {
 	b := &Book{clients: make(map[string]entry, len(c.Clients)), commands: map[string]*config.Command{}, list: c.Commands,
-		throttle: c.Throttle, most: c.MostUnits()}
+		throttle: c.ThrottleClass, most: c.MaxUnits()}
 	for _, k := range c.Clients {
-		b.clients[k.Name] = entry{&Client{k.Name, c.Plans[k.Plan].Name}, k.Secret}
+		b.clients[k.Name] = entry{&Client{k.Name, c.Plans[k.Plan].Name}, k.SecretHash}
 	}
 	for i := range c.Commands {
 		b.commands[c.Commands[i].Name] = &c.Commands[i]
@@ -83,16 +83,16 @@
 		return core.Call{}, true, WrongArity(words[0])
 	}
 	units := m.Units
-	if m.UnitsAt > 0 {
-		n, err := strconv.Atoi(string(words[m.UnitsAt]))
+	if m.UnitsIndex > 0 {
+		n, err := strconv.Atoi(string(words[m.UnitsIndex]))
 		if err != nil || n < 1 || n > b.most {
-			return core.Call{}, true, Invalid(fmt.Sprintf("word %d holds the units, want a whole number from 1 to %d", m.UnitsAt, b.most))
+			return core.Call{}, true, Invalid(fmt.Sprintf("word %d holds the units, want a whole number from 1 to %d", m.UnitsIndex, b.most))
 		}
 		units = n
 	}
 	call := core.Call{Client: c.Name, Plan: c.Plan, Class: m.Class, Units: float64(units), Payload: resp.AppendArgs(nil, words)}
-	if m.KeyAt > 0 {
-		if call.Key = string(words[m.KeyAt]); call.Key == "" {
+	if m.KeyIndex > 0 {
+		if call.Key = string(words[m.KeyIndex]); call.Key == "" {
 			return core.Call{}, true, Invalid("the submission key is empty, want a name that is new for each submission")
 		}
 	}
--- a/internal/access/access_test.go
+++ b/internal/access/access_test.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Commands[1].UnitsAt = 1 // IMAGE.FETCH units
+	c.Commands[1].UnitsIndex = 1 // IMAGE.FETCH units
 	return New(c)
 }
 
--- a/internal/day/fleet.go
+++ b/internal/day/fleet.go
@@ -314,7 +314,7 @@
 	for _, c := range f.cfg.Commands {
 		if c.Name == a.Words[0] {
 			r.Class = f.cfg.Classes[c.Class].Name
-			if r.Client = a.Words[2]; c.KeyAt > 0 {
+			if r.Client = a.Words[2]; c.KeyIndex > 0 {
 				r.Key, r.Try = a.Words[1], a.Words[3]
 			}
 		}
--- a/internal/day/sabotage.go
+++ b/internal/day/sabotage.go
@@ -36,12 +36,12 @@
 var saboteurs = map[string]func() instance.Hooks{
 	// Boxes that drain or are gone stay up in the instance's eyes.
 	"drain": func() instance.Hooks {
-		return instance.Hooks{Lists: func(s discovery.Sink) discovery.Sink { return &deaf{Sink: s, seen: map[string]policy.Server{}} }}
+		return instance.Hooks{ServerLists: func(s discovery.Sink) discovery.Sink { return &deaf{Sink: s, seen: map[string]policy.Server{}} }}
 	},
 	// Submissions go to a second room as well.
 	"repeat": func() instance.Hooks {
 		k := &rooms{}
-		return instance.Hooks{Lists: k.lists, Backend: func(b core.Backend) core.Backend { return &doubler{Backend: b, rooms: k} }}
+		return instance.Hooks{ServerLists: k.lists, Backend: func(b core.Backend) core.Backend { return &doubler{Backend: b, rooms: k} }}
 	},
 	// Every tenth call is taken and forgotten.
 	"lost": func() instance.Hooks {
@@ -49,7 +49,7 @@
 	},
 	// The head of a command that comes in more than one piece is thrown away, as the front once did.
 	"input": func() instance.Hooks {
-		return instance.Hooks{Read: func(data []byte) []byte {
+		return instance.Hooks{FilterInput: func(data []byte) []byte {
 			if _, _, _, err := resp.Command(data, nil, resp.DefaultLimits); errors.Is(err, resp.ErrIncomplete) {
 				return nil
 			}
@@ -67,7 +67,7 @@
 	// A box that has just started gets all work.
 	"cold": func() instance.Hooks {
 		k := &rooms{}
-		return instance.Hooks{Lists: k.lists, Backend: func(b core.Backend) core.Backend { return &crowd{Backend: b, rooms: k} }}
+		return instance.Hooks{ServerLists: k.lists, Backend: func(b core.Backend) core.Backend { return &crowd{Backend: b, rooms: k} }}
 	},
 }
 
--- a/internal/edge/plan/budget.go
+++ b/internal/edge/plan/budget.go
@@ -36,7 +36,7 @@
 	Backends  int   // connections to backends, probes' aside
 	Held      int   // requests under way
 	HeapBytes int64 // that the collector keeps to
-	Front     config.Front
+	Front     config.FrontLimits
 	Crowd     crowd.Limits
 }
 
@@ -69,8 +69,8 @@
 		b.Held = min(b.Held, mostHeld)
 	}
 	b.Crowd = crowd.Standard(b.Clients, partial.Seconds())
-	b.Front = config.Front{Connections: b.Clients, Bulk: valueMost, Pipeline: 256, Output: 2 * valueMost,
-		Input: memory / 16, Partial: partial}
+	b.Front = config.FrontLimits{MaxConnections: b.Clients, MaxArgumentBytes: valueMost, MaxPipelined: 256, MaxUnreadBytes: 2 * valueMost,
+		MaxInputBytes: memory / 16, PartialTimeout: partial}
 	return b
 }
 
--- a/internal/front/bounds_test.go
+++ b/internal/front/bounds_test.go
@@ -16,7 +16,7 @@
 
 // A client that sends far more than it may have under way, and reads only then, is asked to wait: it loses nothing.
 func TestLongPipelineWaits(t *testing.T) {
-	srv, _, addr := start(t, func(b *config.Front) { b.Pipeline = 100; b.Bulk = 64 << 10 })
+	srv, _, addr := start(t, func(b *config.FrontLimits) { b.MaxPipelined = 100; b.MaxArgumentBytes = 64 << 10 })
 	k := connect(t, addr, true)
 	const n = 40_000
 	sent := make(chan error, 1)
@@ -41,7 +41,7 @@
 
 // A connection that is parked while answers are awaited gets them all, and goes on.
 func TestParkedUntilAnswers(t *testing.T) {
-	srv, s, addr := start(t, func(b *config.Front) { b.Pipeline = 10; b.Bulk = 64 << 10 })
+	srv, s, addr := start(t, func(b *config.FrontLimits) { b.MaxPipelined = 10; b.MaxArgumentBytes = 64 << 10 })
 	k := connect(t, addr, true)
 	go func() {
 		_, _ = io.WriteString(k, strings.Repeat("JOB.STATUS hold\r\n", 30)+strings.Repeat("ECHO "+strings.Repeat("y", 1000)+"\r\n", 200))
@@ -56,7 +56,7 @@
 
 // One that leaves while it is parked is found gone, and the server stops with one parked.
 func TestParkedAndGone(t *testing.T) {
-	srv, s, addr := start(t, func(b *config.Front) { b.Pipeline = 10; b.Bulk = 64 << 10 })
+	srv, s, addr := start(t, func(b *config.FrontLimits) { b.MaxPipelined = 10; b.MaxArgumentBytes = 64 << 10 })
 	for range 2 {
 		k := connect(t, addr, true)
 		k.send(strings.Repeat("JOB.STATUS hold\r\n", 10) + strings.Repeat("ECHO "+strings.Repeat("y", 1000)+"\r\n", 50))
@@ -77,7 +77,7 @@
 
 // A client that reads slowly gets answers many times the size of what may wait unread.
 func TestSlowReader(t *testing.T) {
-	srv, _, addr := start(t, func(b *config.Front) { b.Output = 64 << 10; b.Bulk = 512 << 10 })
+	srv, _, addr := start(t, func(b *config.FrontLimits) { b.MaxUnreadBytes = 64 << 10; b.MaxArgumentBytes = 512 << 10 })
 	k := connect(t, addr, true)
 	arg := strings.Repeat("z", 400<<10)
 	const n = 40 // 16 MB of answers
@@ -97,7 +97,11 @@
 }
 
 func TestBeforeLogin(t *testing.T) {
-	srv, _, addr := start(t, func(b *config.Front) { b.Input = 1 << 20; b.Bulk = 512 << 10; b.Connections = 1000 })
+	srv, _, addr := start(t, func(b *config.FrontLimits) {
+		b.MaxInputBytes = 1 << 20
+		b.MaxArgumentBytes = 512 << 10
+		b.MaxConnections = 1000
+	})
 	for in, want := range map[string]string{
 		"*11\r\n":                        "-ERR Protocol error: invalid multibulk length\r\n",
 		"*2\r\n$4\r\nECHO\r\n$16385\r\n": "-ERR Protocol error: invalid bulk length\r\n",
@@ -125,7 +129,7 @@
 // Many connections that send half of the largest command and stop hold no more than the bound, and others go on.
 func TestStalledLargeCommands(t *testing.T) {
 	const conns, bulk, input = 400, 512 << 10, 8 << 20
-	srv, _, addr := start(t, func(b *config.Front) { b.Bulk, b.Input = bulk, input })
+	srv, _, addr := start(t, func(b *config.FrontLimits) { b.MaxArgumentBytes, b.MaxInputBytes = bulk, input })
 	half := fmt.Sprintf("*2\r\n$4\r\nECHO\r\n$%d\r\n%s", bulk, strings.Repeat("x", bulk/2))
 	before := heap()
 	for range conns {
@@ -151,7 +155,9 @@
 	const conns, bulk = 5000, 512 << 10
 	half := fmt.Sprintf("*2\r\n$4\r\nECHO\r\n$%d\r\n%s", bulk, strings.Repeat("x", bulk/2))
 	for range b.N {
-		srv, _, addr := start(b, func(f *config.Front) { f.Bulk, f.Input, f.Connections = bulk, 64<<20, 6000 })
+		srv, _, addr := start(b, func(f *config.FrontLimits) {
+			f.MaxArgumentBytes, f.MaxInputBytes, f.MaxConnections = bulk, 64<<20, 6000
+		})
 		before := heap()
 		var work sync.WaitGroup
 		for range conns {
@@ -187,7 +193,7 @@
 // When room is free again, those that wait go on, whole.
 func TestWaitingCommandsGoOn(t *testing.T) {
 	const bulk = 512 << 10
-	srv, _, addr := start(t, func(b *config.Front) { b.Bulk, b.Input = bulk, 1<<20 })
+	srv, _, addr := start(t, func(b *config.FrontLimits) { b.MaxArgumentBytes, b.MaxInputBytes = bulk, 1<<20 })
 	arg := strings.Repeat("q", bulk)
 	whole := string(resp.AppendCommand(nil, "ECHO", arg))
 	var list []*raw
--- a/internal/front/closing.go
+++ b/internal/front/closing.go
@@ -69,7 +69,7 @@
 
 // sweep cuts connections whose command stays unfinished, or who never say who they are.
 func (l *loop) sweep() {
-	now, most := time.Now(), l.s.opt.Bounds.Partial
+	now, most := time.Now(), l.s.opt.Bounds.PartialTimeout
 	for len(l.lingering) > 0 && l.lingering[0].lingerTo < seconds() {
 		l.hurry()
 	}
@@ -150,7 +150,7 @@
 	l.s.lingering.Add(1)
 	l.lingering = append(l.lingering, k)
 	// While this instance leaves nobody new needs the room.
-	for most := max(1, l.s.opt.Bounds.Connections/lingerShare); len(l.lingering) > most && !l.s.retiring.Load(); {
+	for most := max(1, l.s.opt.Bounds.MaxConnections/lingerShare); len(l.lingering) > most && !l.s.retiring.Load(); {
 		l.hurry()
 	}
 	return eventloop.None
--- a/internal/front/commands_test.go
+++ b/internal/front/commands_test.go
@@ -30,8 +30,8 @@
 
 func (echo) Answer(dst []byte, c *core.Call) []byte { return append(dst, c.Answer.Payload...) }
 
-func openWorld(most int) (func(*config.Front), func(*Options)) {
-	return func(f *config.Front) { f.Connections, f.Partial = most, time.Minute },
+func openWorld(most int) (func(*config.FrontLimits), func(*Options)) {
+	return func(f *config.FrontLimits) { f.MaxConnections, f.PartialTimeout = most, time.Minute },
 		func(o *Options) { o.Commands, o.Loops, o.Crowd = echo{}, 1, crowd.Standard(most, 60) }
 }
 
@@ -105,7 +105,7 @@
 
 // A server that retires closes what is idle, and the rest once it is answered.
 func TestRetire(t *testing.T) {
-	srv, s, addr := startWith(t, func(f *config.Front) { f.Partial = 100 * time.Millisecond }, func(o *Options) { o.Commands = echo{} })
+	srv, s, addr := startWith(t, func(f *config.FrontLimits) { f.PartialTimeout = 100 * time.Millisecond }, func(o *Options) { o.Commands = echo{} })
 	idle, busy := visitor(t, addr), visitor(t, addr)
 	idle.says(say, "+said\r\n")
 	if _, err := busy.Write([]byte("*1\r\n$4\r\nhold\r\n")); err != nil {
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -126,7 +126,7 @@
 	var broken error
 	k.need, k.paused = 0, false
 	for used < len(src) && !k.quit {
-		if k.waiting() >= s.opt.Bounds.Pipeline || len(l.buf) >= outputBatch {
+		if k.waiting() >= s.opt.Bounds.MaxPipelined || len(l.buf) >= outputBatch {
 			k.paused = true
 			break
 		}
@@ -180,7 +180,7 @@
 	}
 	if k.congested && len(k.in) > 0 {
 		k.paused = true
-	} else if k.paused && k.waiting() < s.opt.Bounds.Pipeline { // stopped for the sake of the output alone
+	} else if k.paused && k.waiting() < s.opt.Bounds.MaxPipelined { // stopped for the sake of the output alone
 		return k.again()
 	}
 	return k.hold()
@@ -195,7 +195,7 @@
 		for k.ready < len(k.queue) && k.queue[k.ready].done {
 			k.ready++
 		}
-		if !k.waits && !k.congested && (!k.paused || len(k.queue)-k.ready <= k.loop.s.opt.Bounds.Pipeline/2) {
+		if !k.waits && !k.congested && (!k.paused || len(k.queue)-k.ready <= k.loop.s.opt.Bounds.MaxPipelined/2) {
 			return k.unpark()
 		}
 		return eventloop.None
@@ -203,7 +203,7 @@
 	if act := k.pump(); act != eventloop.None || k.congested {
 		return act
 	}
-	if k.paused && k.waiting() <= k.loop.s.opt.Bounds.Pipeline/2 {
+	if k.paused && k.waiting() <= k.loop.s.opt.Bounds.MaxPipelined/2 {
 		return k.again()
 	}
 	return eventloop.None
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -116,15 +116,15 @@
 	return access.New(c)
 }
 
-func start(t testing.TB, change func(*config.Front)) (*Server, *scripted, string) {
+func start(t testing.TB, change func(*config.FrontLimits)) (*Server, *scripted, string) {
 	t.Helper()
 	return startWith(t, change, nil)
 }
 
-func startWith(t testing.TB, change func(*config.Front), more func(*Options)) (*Server, *scripted, string) {
+func startWith(t testing.TB, change func(*config.FrontLimits), more func(*Options)) (*Server, *scripted, string) {
 	t.Helper()
 	s := newScripted()
-	b := config.Front{Connections: 1000, Bulk: 4096, Pipeline: 500, Output: 1 << 20, Partial: time.Minute}
+	b := config.FrontLimits{MaxConnections: 1000, MaxArgumentBytes: 4096, MaxPipelined: 500, MaxUnreadBytes: 1 << 20, PartialTimeout: time.Minute}
 	if change != nil {
 		change(&b)
 	}
@@ -292,7 +292,7 @@
 
 func TestBounds(t *testing.T) {
 	t.Run("slow command", func(t *testing.T) {
-		srv, _, addr := start(t, func(b *config.Front) { b.Partial = 100 * time.Millisecond })
+		srv, _, addr := start(t, func(b *config.FrontLimits) { b.PartialTimeout = 100 * time.Millisecond })
 		silent, slow := connect(t, addr, false), connect(t, addr, true)
 		slow.send("*1\r\n$4\r\nPI")
 		idle := connect(t, addr, true)
@@ -304,7 +304,7 @@
 		}
 	})
 	t.Run("client that never reads", func(t *testing.T) {
-		srv, _, addr := start(t, func(b *config.Front) { b.Output, b.Partial = 64<<10, 300*time.Millisecond })
+		srv, _, addr := start(t, func(b *config.FrontLimits) { b.MaxUnreadBytes, b.PartialTimeout = 64<<10, 300*time.Millisecond })
 		k := connect(t, addr, true)
 		big := "ECHO " + strings.Repeat("x", 4000) + "\r\n"
 		for srv.Counts().Cut == 0 {
@@ -315,7 +315,7 @@
 		wait(t, func() bool { return srv.Counts().Open == 0 })
 	})
 	t.Run("pipeline", func(t *testing.T) {
-		_, s, addr := start(t, func(b *config.Front) { b.Pipeline = 10 })
+		_, s, addr := start(t, func(b *config.FrontLimits) { b.MaxPipelined = 10 })
 		k := connect(t, addr, true)
 		k.send(strings.Repeat("JOB.STATUS hold\r\n", 25))
 		for n := range 25 {
@@ -328,7 +328,7 @@
 		k.expect("", strings.Repeat("+ok\r\n", 25))
 	})
 	t.Run("connections", func(t *testing.T) {
-		srv, _, addr := start(t, func(b *config.Front) { b.Connections = 2 })
+		srv, _, addr := start(t, func(b *config.FrontLimits) { b.MaxConnections = 2 })
 		connect(t, addr, true)
 		connect(t, addr, true)
 		connect(t, addr, false).ended("-ERR max number of clients reached\r\n")
--- a/internal/front/linger_test.go
+++ b/internal/front/linger_test.go
@@ -130,7 +130,7 @@
 
 // The second of two commands is never finished: the first still gets its answer before the connection is cut.
 func TestUnfinishedCommandBehindAnOpenOne(t *testing.T) {
-	srv, s, addr := startWith(t, func(f *config.Front) { f.Partial = 50 * time.Millisecond }, func(o *Options) { o.Commands, o.Loops = echo{}, 1 })
+	srv, s, addr := startWith(t, func(f *config.FrontLimits) { f.PartialTimeout = 50 * time.Millisecond }, func(o *Options) { o.Commands, o.Loops = echo{}, 1 })
 	k := visitor(t, addr)
 	k.write(hold + say[:5])
 	call := <-s.held
@@ -173,7 +173,7 @@
 // A client that leaves while it is read no further, with more of its bytes unread before its end: all that it has asked is
 // given up, and nothing behind that is asked.
 func TestLeavesWhileParked(t *testing.T) {
-	srv, s, addr := startWith(t, func(f *config.Front) { f.Pipeline = 10 }, func(o *Options) { o.Commands, o.Loops, o.Leavers = echo{}, 1, true })
+	srv, s, addr := startWith(t, func(f *config.FrontLimits) { f.MaxPipelined = 10 }, func(o *Options) { o.Commands, o.Loops, o.Leavers = echo{}, 1, true })
 	for _, leave := range []func(k *raw) error{(*raw).Close, func(k *raw) error { return k.Conn.(*net.TCPConn).CloseWrite() }} {
 		parked, asked, left := srv.Counts().Parked, s.seen(), s.left()
 		k := visitor(t, addr)
--- a/internal/front/output.go
+++ b/internal/front/output.go
@@ -36,12 +36,12 @@
 			k.leftSince = time.Now()
 			k.out = k.out[:copy(k.out, k.out[n:])]
 		}
-		if k.congested = len(k.out) > min(congestMost, l.s.opt.Bounds.Output/2); len(k.out) > 0 {
+		if k.congested = len(k.out) > min(congestMost, l.s.opt.Bounds.MaxUnreadBytes/2); len(k.out) > 0 {
 			l.behind = append(l.behind, k)
 		} else {
 			k.out = nil
 		}
-		if err != nil || len(k.out) > 0 && time.Since(k.leftSince) > l.s.opt.Bounds.Partial {
+		if err != nil || len(k.out) > 0 && time.Since(k.leftSince) > l.s.opt.Bounds.PartialTimeout {
 			l.s.cut.Add(1)
 			if k.endError = err; err != nil {
 				k.because(writeFailed)
@@ -99,7 +99,7 @@
 			l.fellBehind(k)
 		}
 		k.out = append(k.out, b...)
-		k.congested = len(k.out) > min(congestMost, l.s.opt.Bounds.Output/2)
+		k.congested = len(k.out) > min(congestMost, l.s.opt.Bounds.MaxUnreadBytes/2)
 	}
 	l.buf = l.buf[:0]
 	if cap(l.buf) > 1<<20 {
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -49,7 +49,7 @@
 type Options struct {
 	Listen string // host:port; port 0 takes a free one
 	Loops  int    // event loops, 1 at least
-	Bounds config.Front
+	Bounds config.FrontLimits
 	// Commands are those of a world without logins, in which each command is an array of one word at least. Nil:
 	// this gateway's own, with the clients of Book.
 	Commands Commands
@@ -109,12 +109,12 @@
 	s := &Server{opt: opt, core: c, stop: make(chan struct{}), loops: map[*eventloop.Loop]*loop{}, asking: map[uint64]*conn{}}
 	s.boundByDescriptors()
 	s.lim = resp.DefaultLimits
-	s.lim.Bulk, s.lim.Whole = opt.Bounds.Bulk, opt.Bounds.Bulk+aheadMost
+	s.lim.Bulk, s.lim.Whole = opt.Bounds.MaxArgumentBytes, opt.Bounds.MaxArgumentBytes+aheadMost
 	if opt.Commands != nil {
 		s.lim = opt.Commands.Limits()
 	}
-	s.pool = intake.New(intake.Limits{Free: chunkMost, Total: max(opt.Bounds.Input, opt.Bounds.Bulk), Reserve: s.lim.Whole,
-		Strangers: max(opt.Bounds.Input/4, strangerMost), PassS: passAfter})
+	s.pool = intake.New(intake.Limits{Free: chunkMost, Total: max(opt.Bounds.MaxInputBytes, opt.Bounds.MaxArgumentBytes), Reserve: s.lim.Whole,
+		Strangers: max(opt.Bounds.MaxInputBytes/4, strangerMost), PassS: passAfter})
 	var err error
 	if s.group, err = eventloop.New(s, eventloop.Options{Loops: opt.Loops, ReadBuffer: chunkMost, CloseOnPeerShutdown: opt.Leavers, Log: opt.Log}); err != nil {
 		return nil, fmt.Errorf("front: %w", err)
@@ -140,9 +140,9 @@
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &files); err != nil || files.Cur >= 1<<30 {
 		return
 	}
-	if most := max(1, int(files.Cur)*3/4-64); s.opt.Bounds.Connections > most {
+	if most := max(1, int(files.Cur)*3/4-64); s.opt.Bounds.MaxConnections > most {
 		s.opt.Log.Warn().Int("connections", most).Uint64("descriptors", files.Cur).Msg("fewer connections than set: raise ulimit -n")
-		s.opt.Bounds.Connections = most
+		s.opt.Bounds.MaxConnections = most
 	}
 }
 
@@ -208,7 +208,7 @@
 	s.opened.Add(1)
 	open := s.open.Add(1)
 	l := s.loops[c.Loop()]
-	if most := s.opt.Bounds.Connections - s.opt.Bounds.Connections/lingerShare; int64(open)-s.lingering.Load() > int64(most) && !l.evict() {
+	if most := s.opt.Bounds.MaxConnections - s.opt.Bounds.MaxConnections/lingerShare; int64(open)-s.lingering.Load() > int64(most) && !l.evict() {
 		s.cut.Add(1)
 		_, _ = c.Send([]byte("-ERR max number of clients reached\r\n")) // as much as it takes
 		return eventloop.Close                                          // unread: there is no descriptor to keep it with
@@ -268,7 +268,7 @@
 // sweep looks once a second for connections that take up room and do nothing with it.
 func (s *Server) sweep() {
 	defer s.sweeper.Done()
-	tick := time.NewTicker(min(time.Second, max(s.opt.Bounds.Partial/8, 10*time.Millisecond)))
+	tick := time.NewTicker(min(time.Second, max(s.opt.Bounds.PartialTimeout/8, 10*time.Millisecond)))
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -35,11 +35,11 @@
 
 // Hooks wrap parts where they are not nil.
 type Hooks struct {
-	Settings func(*policy.Settings)
-	Backend  func(core.Backend) core.Backend
-	Lists    func(discovery.Sink) discovery.Sink
-	Calls    func(front.Core) front.Core
-	Read     func(data []byte) []byte
+	Settings    func(*policy.Settings)
+	Backend     func(core.Backend) core.Backend
+	ServerLists func(discovery.Sink) discovery.Sink
+	Calls       func(front.Core) front.Core
+	FilterInput func(data []byte) []byte
 }
 
 // Instance is a running gateway.
@@ -78,13 +78,13 @@
 		return nil, err
 	}
 	i.stalls = core.NewStalls(clock)
-	loops := cfg.Loops
+	loops := cfg.EventLoops
 	if loops == 0 {
 		loops = max(1, min(4, runtime.NumCPU()/2))
 	}
 	i.pool, err = backend.New(i.loop, backend.Options{
-		Dialect:     backend.RESP{Name: fmt.Sprintf("cometpond-%d", cfg.Me), LoadInReplies: cfg.Backend.Load == "answer"},
-		Connections: cfg.Backend.Connections, Pipeline: cfg.Backend.Pipeline, ConnectTimeout: cfg.Backend.Connect,
+		Dialect:     backend.RESP{Name: fmt.Sprintf("cometpond-%d", cfg.Self), LoadInReplies: cfg.Backend.LoadSource == "answer"},
+		Connections: cfg.Backend.MaxConnections, Pipeline: cfg.Backend.MaxPipelined, ConnectTimeout: cfg.Backend.ConnectTimeout,
 		Loops: max(1, loops/2), Log: opt.Log.With().Str("part", "backend").Logger()})
 	if err != nil {
 		return nil, err
@@ -116,13 +116,13 @@
 		i.loop.Run(loop)
 	}()
 	var lists discovery.Sink = i.loop
-	if opt.Hooks.Lists != nil {
-		lists = opt.Hooks.Lists(lists)
+	if opt.Hooks.ServerLists != nil {
+		lists = opt.Hooks.ServerLists(lists)
 	}
 	if cfg.Discovery == nil {
-		<-lists.Servers(cfg.Boxes, true)
+		<-lists.Servers(cfg.Servers, true)
 	} else {
-		i.disc = discovery.NewClient(*cfg.Discovery, fmt.Sprintf("cometpond-%d", cfg.Me), lists,
+		i.disc = discovery.NewClient(*cfg.Discovery, fmt.Sprintf("cometpond-%d", cfg.Self), lists,
 			opt.Log.With().Str("part", "discovery").Logger())
 		if err := i.disc.Restore(ctx); err != nil {
 			opt.Log.Warn().Err(err).Msg("kept list not used")
@@ -141,7 +141,7 @@
 		}
 	}
 	i.front, err = front.Start(calls, front.Options{Listen: cfg.Listen, Loops: loops, Bounds: cfg.Front, Book: book,
-		Info: i.Info, Age: i.stalls.Age, Read: opt.Hooks.Read, Log: opt.Log.With().Str("part", "front").Logger()})
+		Info: i.Info, Age: i.stalls.Age, Read: opt.Hooks.FilterInput, Log: opt.Log.With().Str("part", "front").Logger()})
 	if err != nil {
 		return nil, err
 	}
@@ -194,7 +194,7 @@
 		i.rpc.Drain()
 	}
 	i.loop.Drain()
-	deadline := time.NewTimer(i.cfg.Drain)
+	deadline := time.NewTimer(i.cfg.DrainTimeout)
 	defer deadline.Stop()
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
@@ -253,7 +253,7 @@
 			fmt.Fprintf(&b, "%v:%v\r\n", pairs[k], pairs[k+1])
 		}
 	}
-	section("Server", "instance", i.cfg.Me, "zone", i.cfg.Zone, "uptime_in_seconds", int(time.Since(i.since).Seconds()))
+	section("Server", "instance", i.cfg.Self, "zone", i.cfg.Zone, "uptime_in_seconds", int(time.Since(i.since).Seconds()))
 	s := i.loop.Status()
 	section("Requests", "taken", s.Taken, "served", s.Served, "refused", s.Refused, "failed", s.Failed, "admitted", s.Admitted,
 		"client_gone", s.Gone, "joined", s.Joined, "repeated", s.Repeated, "overfull", s.Overfull, "overdue", s.Overdue,
@@ -273,9 +273,9 @@
 	p := i.pool.Counts()
 	section("Boxes", "box_connections", p.OpenConnections, "dials", p.Dials, "dials_failed", p.DialsFailed, "attempts_broken", p.AttemptsBroken)
 	if i.disc != nil {
-		d := i.disc.State()
-		section("Discovery", "discovery_connected", d.Connected, "list_version", d.Version, "list_boxes", d.Boxes,
-			"lists_refused", d.Nacked)
+		d := i.disc.Status()
+		section("Discovery", "discovery_connected", d.Connected, "list_version", d.Version, "list_boxes", d.Servers,
+			"lists_refused", d.RejectedLists)
 	}
 	if i.peers != nil {
 		c := i.peers.Counts()
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -61,19 +61,19 @@
 
 // Open binds this instance's address.
 func Open(c *config.Config, sink Sink, log zerolog.Logger) (*Link, error) {
-	l := &Link{me: c.Me, sink: sink, log: log, out: make(chan outgoing, mostUnsent)}
+	l := &Link{me: c.Self, sink: sink, log: log, out: make(chan outgoing, mostUnsent)}
 	for _, i := range c.Instances {
-		a, err := net.ResolveUDPAddr("udp", i.Peer)
+		a, err := net.ResolveUDPAddr("udp", i.PeerAddress)
 		if err != nil {
 			return nil, fmt.Errorf("instance %d: %w", i.Number, err)
 		}
 		l.addrs = append(l.addrs, a)
 	}
 	var err error
-	if l.seal, err = newSealer(c.PeerKey, c.Me, len(c.Instances), uint64(time.Now().UnixNano())); err != nil {
+	if l.seal, err = newSealer(c.PeerKey, c.Self, len(c.Instances), uint64(time.Now().UnixNano())); err != nil {
 		return nil, err
 	}
-	if err = l.listen(l.addrs[c.Me]); err != nil {
+	if err = l.listen(l.addrs[c.Self]); err != nil {
 		return nil, err
 	}
 	return l, nil
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -49,9 +49,9 @@
 	defer tap.Close()
 	key := bytes.Repeat([]byte{7}, 32)
 	open := func(me int, addrs ...string) (*Link, *heard) {
-		c := &config.Config{Me: me, PeerKey: key}
+		c := &config.Config{Self: me, PeerKey: key}
 		for i, a := range addrs {
-			c.Instances = append(c.Instances, config.Instance{Number: i, Peer: a})
+			c.Instances = append(c.Instances, config.Instance{Number: i, PeerAddress: a})
 		}
 		h := &heard{}
 		l, err := Open(c, h, zerolog.Nop())
--- a/internal/rpc/auth.go
+++ b/internal/rpc/auth.go
@@ -73,7 +73,7 @@
 	sum := config.HashSecret(secret)
 	for i := range s.opt.Domains {
 		d := &s.opt.Domains[i]
-		if d.Name == name && ok && user == name && subtle.ConstantTimeCompare(sum[:], d.Secret[:]) == 1 {
+		if d.Name == name && ok && user == name && subtle.ConstantTimeCompare(sum[:], d.SecretHash[:]) == 1 {
 			return d, true
 		}
 	}
--- a/internal/rpc/limits.go
+++ b/internal/rpc/limits.go
@@ -100,7 +100,7 @@
 			return nil, false
 		}
 	}
-	name, ok := values[rule.Customer]
+	name, ok := values[rule.CustomerKey]
 	if !ok {
 		return nil, false
 	}
@@ -143,7 +143,7 @@
 	for _, c := range calls {
 		st := &rlsv3.RateLimitResponse_DescriptorStatus{Code: rlsv3.RateLimitResponse_OK}
 		switch {
-		case c == nil && !d.Allow:
+		case c == nil && !d.AllowUnmatched:
 			st.Code = rlsv3.RateLimitResponse_OVER_LIMIT
 		case c == nil:
 		case c.Answer.Kind == core.Failed || c.Answer.Kind == core.Refused && c.Answer.Reason != core.NoRoom:
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -476,7 +476,7 @@
 
 // A connection too many is closed; those that stand go on, and a place given back is taken again.
 func TestConnectionsAreBounded(t *testing.T) {
-	srv, _ := start(t, func(g *config.GRPC) { g.Connections = 1 })
+	srv, _ := start(t, func(g *config.GRPC) { g.MaxConnections = 1 })
 	first, second := dial(t, srv, nil), dial(t, srv, nil)
 	ask := func(c *grpc.ClientConn) error {
 		_, err := pb.NewGatewayClient(c).Do(acme(), words("JOB.STATUS", "1"))
@@ -545,7 +545,7 @@
 	a := &authority{t: t, dir: t.TempDir()}
 	ca, _ := a.issue("authority", false)
 	cert, key := a.issue("server", true)
-	srv, _ := start(t, func(g *config.GRPC) { g.Certificate, g.Key, g.CAs = cert, key, ca })
+	srv, _ := start(t, func(g *config.GRPC) { g.CertificateFile, g.KeyFile, g.ClientCAFile = cert, key, ca })
 	pool := x509.NewCertPool()
 	pool.AddCert(a.cert)
 	ask := func(ctx context.Context, change func(*tls.Config)) error {
@@ -588,7 +588,7 @@
 	if err := ask(context.Background(), forge); err == nil {
 		t.Error("a certificate of another authority was taken")
 	}
-	if _, err := Start(nil, Options{GRPC: config.GRPC{Certificate: "none", Key: "none"}}); err == nil {
+	if _, err := Start(nil, Options{GRPC: config.GRPC{CertificateFile: "none", KeyFile: "none"}}); err == nil {
 		t.Error("files that are not there")
 	}
 }
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -80,12 +80,12 @@
 func Start(c Core, opt Options) (*Server, error) {
 	s := &Server{opt: opt, core: c, drain: make(chan struct{}), health: health.NewServer()}
 	options := []grpc.ServerOption{
-		grpc.MaxConcurrentStreams(uint32(opt.Streams)), grpc.MaxRecvMsgSize(opt.Message),
+		grpc.MaxConcurrentStreams(uint32(opt.MaxStreams)), grpc.MaxRecvMsgSize(opt.MaxMessageBytes),
 		grpc.MaxHeaderListSize(16 << 10), grpc.ConnectionTimeout(10 * time.Second),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 30 * time.Second, Timeout: 10 * time.Second}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true}),
 	}
-	if opt.Certificate != "" {
+	if opt.CertificateFile != "" {
 		creds, err := transport(opt.GRPC)
 		if err != nil {
 			return nil, err
@@ -109,7 +109,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen on %s: %w", opt.Listen, err)
 	}
-	s.ln = &bounded{Listener: ln, most: int64(opt.Connections), cut: &s.cut, log: opt.Log}
+	s.ln = &bounded{Listener: ln, most: int64(opt.MaxConnections), cut: &s.cut, log: opt.Log}
 	s.served.Add(1)
 	go func() {
 		defer s.served.Done()
@@ -166,19 +166,19 @@
 
 // transport reads the files of TLS: 1.3 at least, and clients' certificates where an authority is given.
 func transport(g config.GRPC) (credentials.TransportCredentials, error) {
-	pair, err := tls.LoadX509KeyPair(g.Certificate, g.Key)
+	pair, err := tls.LoadX509KeyPair(g.CertificateFile, g.KeyFile)
 	if err != nil {
 		return nil, fmt.Errorf("TLS certificate: %w", err)
 	}
 	t := &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS13}
-	if g.CAs != "" {
-		raw, err := os.ReadFile(g.CAs)
+	if g.ClientCAFile != "" {
+		raw, err := os.ReadFile(g.ClientCAFile)
 		if err != nil {
 			return nil, fmt.Errorf("authority of clients: %w", err)
 		}
 		t.ClientCAs = x509.NewCertPool()
 		if !t.ClientCAs.AppendCertsFromPEM(raw) {
-			return nil, fmt.Errorf("authority of clients: %s holds no certificate in PEM", g.CAs)
+			return nil, fmt.Errorf("authority of clients: %s holds no certificate in PEM", g.ClientCAFile)
 		}
 		// Callers without one may still give credentials in metadata, as rate limit callers do.
 		t.ClientAuth = tls.VerifyClientCertIfGiven
--- a/internal/rpc/stream.go
+++ b/internal/rpc/stream.go
@@ -24,8 +24,8 @@
 	if !ok {
 		return errDenied
 	}
-	x := &exchange{s: s, st: st, back: make(chan *core.Call, s.opt.Ahead), out: make(chan *pb.StreamResponse, s.opt.Ahead),
-		places: make(chan struct{}, s.opt.Ahead), read: make(chan error, 1), under: map[*core.Call]uint64{}, taken: make(chan begun, s.opt.Ahead)}
+	x := &exchange{s: s, st: st, back: make(chan *core.Call, s.opt.MaxStreamRequests), out: make(chan *pb.StreamResponse, s.opt.MaxStreamRequests),
+		places: make(chan struct{}, s.opt.MaxStreamRequests), read: make(chan error, 1), under: map[*core.Call]uint64{}, taken: make(chan begun, s.opt.MaxStreamRequests)}
 	go func() { // ends with the stream: Recv fails once the handler has returned
 		x.read <- x.recv(func(r *pb.DoRequest) (core.Call, error) { return s.work(client, r) })
 	}()
--- a/internal/standin/box.go
+++ b/internal/standin/box.go
@@ -348,7 +348,7 @@
 	jobs := map[string]Job{}
 	for _, k := range c.Commands {
 		class := c.Classes[k.Class]
-		jobs[k.Name] = Job{Work: share * class.AimS, KeyAt: k.KeyAt, KeyS: class.KeyTTLS}
+		jobs[k.Name] = Job{Work: share * class.AimS, KeyAt: k.KeyIndex, KeyS: class.KeyTTLS}
 	}
 	return jobs
 }
--- a/internal/standin/eds.go
+++ b/internal/standin/eds.go
@@ -119,7 +119,7 @@
 		version, list, changed := e.version, e.lists[e.version], e.changed
 		e.mu.Unlock()
 		if version > sent {
-			a, err := discovery.Assignment(e.cluster, list)
+			a, err := discovery.NewAssignment(e.cluster, list)
 			if err != nil {
 				return err
 			}
