--- a/internal/instance/fronts_test.go
+++ b/internal/instance/fronts_test.go
@@ -25,8 +25,8 @@
 	pb "cometpond/internal/rpc/cometpondv1"
 )
 
-// grpcPart is a gRPC front with one domain for Envoy.
-func grpcPart() string {
+// grpcSettings returns the settings of a gRPC front with one domain for Envoy.
+func grpcSettings() string {
 	return fmt.Sprintf(`
 (grpc (listen "127.0.0.1:0") (domain edge (secret-sha256 "%x") (unmatched refuse)
   (descriptor (customer client) (class job-status))))`, config.HashSecret("edge-secret"))
@@ -57,18 +57,19 @@
 	return c.LocalAddr().String()
 }
 
-// One customer that asks over both fronts of two instances gets its quota once: its burst and what has
-// filled meanwhile. Never seen before, it may get one even split more: what a member passes unheard.
+// A customer that uses both fronts of two instances gets its quota once: the burst and the units refilled meanwhile.
+// As no instance has seen it before, it may get one even split more, which a member admits before it has heard from
+// the other.
 func TestOneQuotaOverAllFronts(t *testing.T) {
 	raw, err := os.ReadFile("../../examples/one.sexp")
 	if err != nil {
 		t.Fatal(err)
 	}
 	base, _, _ := strings.Cut(string(raw), "; The gRPC front")
-	text := strings.Replace(base, "127.0.0.1:7379", "127.0.0.1:0", 1) + grpcPart()
+	text := strings.Replace(base, "127.0.0.1:7379", "127.0.0.1:0", 1) + grpcSettings()
 	text = strings.Replace(text, "(rate 10) (burst 20)", "(rate 2) (burst 60)", 1)
 	text += fmt.Sprintf(`(instances (key "%s") (instance 0 %q) (instance 1 %q))`, strings.Repeat("ab", 32), freeUDP(t), freeUDP(t))
-	var asks []func() bool
+	var callers []func() bool
 	begin := time.Now()
 	for me := range 2 {
 		cfg, err := config.Parse("two", strings.Replace(text, "(me 0)", fmt.Sprintf("(me %d)", me), 1))
@@ -83,7 +84,7 @@
 		c := redis.NewClient(&redis.Options{Addr: a.String(), Username: "acme", Password: "acme-secret", MaxRetries: -1})
 		defer stop(t, in, c)
 		limits := rlsv3.NewRateLimitServiceClient(dialRPC(t, in))
-		asks = append(asks, func() bool {
+		callers = append(callers, func() bool {
 			v, err := c.Do(context.Background(), "CL.THROTTLE", "acme", 1, 1, 1).Int64Slice()
 			return err == nil && v[0] == 0
 		}, func() bool {
@@ -92,46 +93,46 @@
 			return err == nil && r.GetOverallCode() == rlsv3.RateLimitResponse_OK
 		})
 	}
-	passed := make([]int, len(asks))
+	admitted := make([]int, len(callers))
 	var work sync.WaitGroup
-	for i, ask := range asks {
+	for i, call := range callers {
 		work.Add(1)
 		go func() {
 			defer work.Done()
 			for n := range 200 {
-				if ask() {
-					passed[i]++
+				if call() {
+					admitted[i]++
 				}
-				if n > 50 { // first as fast as it can, then at a pace
+				if n > 50 { // the first requests without a pause, the others at a steady rate
 					time.Sleep(5 * time.Millisecond)
 				}
 			}
 		}()
 	}
 	work.Wait()
-	all := passed[0] + passed[1] + passed[2] + passed[3]
-	most := 60 + int(2*time.Since(begin).Seconds()) + 60/2
-	if all < 50 || all > most {
-		t.Errorf("%d passed (%v), want 50 to %d", all, passed, most)
+	total := admitted[0] + admitted[1] + admitted[2] + admitted[3]
+	maxTotal := 60 + int(2*time.Since(begin).Seconds()) + 60/2
+	if total < 50 || total > maxTotal {
+		t.Errorf("%d requests admitted (%v), want 50 to %d", total, admitted, maxTotal)
 	}
 }
 
-// A crowd on one front that does not read its answers leaves the other front as it was.
-func TestSlowFrontSlowsNoOther(t *testing.T) {
-	s := newSite(t, 0.001)
-	s.settings += grpcPart()
-	in, c := s.start(1)
+// Clients of the gRPC front that never read their answers do not disturb the RESP front.
+func TestUnreadAnswersOnOneFrontSpareOther(t *testing.T) {
+	fx := newFixture(t, 0.001)
+	fx.settings += grpcSettings()
+	in, c := fx.start(1)
 	defer stop(t, in, c)
-	work := pb.NewGatewayClient(dialRPC(t, in))
+	gateway := pb.NewGatewayClient(dialRPC(t, in))
 	ctx, cancel := context.WithCancel(basicAuth("acme", "acme-secret"))
 	defer cancel()
 	for range 4 { // streams that send and never read
-		st, err := work.Stream(ctx)
+		stream, err := gateway.Stream(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
-		go func() { // ends with the stream, as flow control stops it
-			for i := 0; st.Send(&pb.StreamRequest{Id: uint64(i), Request: &pb.DoRequest{Words: [][]byte{[]byte("JOB.STATUS"), []byte("1")}}}) == nil; i++ {
+		go func() { // sends until flow control blocks it, ends with the stream
+			for i := 0; stream.Send(&pb.StreamRequest{Id: uint64(i), Request: &pb.DoRequest{Words: [][]byte{[]byte("JOB.STATUS"), []byte("1")}}}) == nil; i++ {
 			}
 		}()
 	}
@@ -145,17 +146,17 @@
 	}
 }
 
-// BenchmarkDoLatency is the latency that Do adds over asking a box directly, at 1,000 a second.
+// BenchmarkDoLatency measures the latency that Do adds to a direct request to a server, at 1,000 requests a second.
 func BenchmarkDoLatency(b *testing.B) {
 	for b.Loop() {
-		list := boxesFor(b, 0.000001)
-		cfg := wide(b, 64, list)
+		list := startServers(b, 0.000001)
+		cfg := unlimitedConfig(b, 64, list)
 		cfg.GRPC = &config.GRPC{Listen: "127.0.0.1:0", MaxConnections: 1000, MaxStreams: 1000, MaxStreamRequests: 64, MaxMessageBytes: 1 << 20}
-		in, _ := run(b, cfg)
-		work := pb.NewGatewayClient(dialRPC(b, in))
-		direct := latency(b, func(i int) (string, string) { return list[i%3], "" })
+		in, _ := startGateway(b, cfg)
+		gateway := pb.NewGatewayClient(dialRPC(b, in))
+		direct := measureLatency(b, func(i int) (string, string) { return list[i%3], "" })
 		var all []time.Duration
-		for range 2 { // the first until the connections stand
+		for range 2 { // the first round opens the connections
 			all = nil
 			var mu sync.Mutex
 			var wait sync.WaitGroup
@@ -166,7 +167,7 @@
 				go func() {
 					defer wait.Done()
 					at := time.Now()
-					_, err := work.Do(basicAuth(fmt.Sprint("c", n%64), "s"), &pb.DoRequest{Words: [][]byte{[]byte("JOB.STATUS"), []byte("1")}})
+					_, err := gateway.Do(basicAuth(fmt.Sprint("c", n%64), "s"), &pb.DoRequest{Words: [][]byte{[]byte("JOB.STATUS"), []byte("1")}})
 					mu.Lock()
 					defer mu.Unlock()
 					if err == nil {
@@ -184,14 +185,14 @@
 	}
 }
 
-// BenchmarkQuestions are answers a second on one instance, from 50 callers one at a time: an empty unary call,
-// ShouldRateLimit on the same server, and CL.THROTTLE.
-func BenchmarkQuestions(b *testing.B) {
+// BenchmarkRateLimitCalls measures the answers a second of one instance to 50 callers with one request in flight each:
+// an empty unary call, ShouldRateLimit on the same gRPC server, and CL.THROTTLE.
+func BenchmarkRateLimitCalls(b *testing.B) {
 	for b.Loop() {
-		cfg := wide(b, 64, []string{"127.0.0.1:1"})
+		cfg := unlimitedConfig(b, 64, []string{"127.0.0.1:1"})
 		cfg.GRPC = &config.GRPC{Listen: "127.0.0.1:0", MaxConnections: 1000, MaxStreams: 1000, MaxStreamRequests: 64, MaxMessageBytes: 1 << 20,
 			Domains: []config.Domain{{Name: "edge", SecretHash: config.HashSecret("e"), Descriptors: []config.Descriptor{{CustomerKey: "client", Units: 1}}}}}
-		in, addr := run(b, cfg)
+		in, addr := startGateway(b, cfg)
 		conn := dialRPC(b, in)
 		limits, health := rlsv3.NewRateLimitServiceClient(conn), healthv1.NewHealthClient(conn)
 		rate := func(f func(i int) error) float64 {
@@ -218,14 +219,14 @@
 			_, err := health.Check(context.Background(), &healthv1.HealthCheckRequest{})
 			return err
 		})
-		asked := rate(func(i int) error {
+		rateLimited := rate(func(i int) error {
 			_, err := limits.ShouldRateLimit(basicAuth("edge", "e"), &rlsv3.RateLimitRequest{Domain: "edge",
 				Descriptors: []*ratelimitv3.RateLimitDescriptor{{Entries: []*ratelimitv3.RateLimitDescriptor_Entry{{Key: "client", Value: fmt.Sprint("c", i)}}}}})
 			return err
 		})
-		resp := pump(b, addr, 50, 1, throttle, "*", 2*time.Second)
-		b.ReportMetric(asked/empty, "of-empty-call")
-		b.ReportMetric(asked/resp, "of-CL.THROTTLE")
-		b.ReportMetric(asked, "ask/s")
+		resp := pipelinedAnswersPerS(b, addr, 50, 1, throttleCommand, "*", 2*time.Second)
+		b.ReportMetric(rateLimited/empty, "of-empty-call")
+		b.ReportMetric(rateLimited/resp, "of-CL.THROTTLE")
+		b.ReportMetric(rateLimited, "ask/s")
 	}
 }
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -1,5 +1,5 @@
-// Package instance joins the parts of one gateway: front, core, connections to the boxes, messages to other
-// instances and discovery, and starts and stops them in order.
+// Package instance runs one gateway instance: it connects the fronts for clients, the core, the connections to
+// the servers, the messages to other instances and discovery, and starts and stops them in order.
 package instance
 
 import (
@@ -25,187 +25,190 @@
 	"cometpond/policy"
 )
 
-// Options are what a caller may add to the settings file.
+// Options holds what a caller of Start may set beside the settings file.
 type Options struct {
 	Log  zerolog.Logger
-	Seed uint64 // of the module's random numbers; 0: drawn
-	// Hooks put something between the parts; the rigs use them to break rules on purpose.
+	Seed uint64 // seed of the policy module's random numbers; 0 draws one
+	// Hooks intercept calls between the parts. Test rigs use them to break rules on purpose.
 	Hooks Hooks
 }
 
-// Hooks wrap parts where they are not nil.
+// Hooks holds functions that wrap parts of the instance; nil ones are not called.
 type Hooks struct {
-	Settings    func(*policy.Settings)
-	Backend     func(core.Backend) core.Backend
-	ServerLists func(discovery.Sink) discovery.Sink
-	Calls       func(front.Core) front.Core
-	FilterInput func(data []byte) []byte
+	Settings    func(*policy.Settings)              // changes the settings of the policy module
+	Backend     func(core.Backend) core.Backend     // wraps the connections to the servers
+	ServerLists func(discovery.Sink) discovery.Sink // wraps the receiver of lists of servers
+	Calls       func(front.Core) front.Core         // wraps the core as the fronts use it
+	FilterInput func(data []byte) []byte            // changes bytes that the RESP front has read
 }
 
 // Instance is a running gateway.
 type Instance struct {
-	cfg    *config.Config
-	log    zerolog.Logger
-	loop   *core.Loop
-	stalls *core.Stalls
-	pool   *backend.Pool
-	peers  *peer.Link
-	disc   *discovery.Client
-	front  *front.Server
-	rpc    *rpc.Server
-	since  time.Time
+	cfg       *config.Config
+	log       zerolog.Logger
+	loop      *core.Loop
+	pauses    *core.Stalls
+	pool      *backend.Pool
+	peers     *peer.Link
+	discovery *discovery.Client
+	front     *front.Server
+	rpc       *rpc.Server
+	startedAt time.Time
 
-	stopParts context.CancelFunc // peers and discovery
-	stopLoop  context.CancelFunc
-	parts     sync.WaitGroup
-	ran       chan struct{} // closed when the loop has ended
+	stopBackground context.CancelFunc // ends pause monitor, peer messages and discovery
+	stopLoop       context.CancelFunc
+	background     sync.WaitGroup
+	loopDone       chan struct{} // closed when the core loop has ended
 }
 
-// Start brings a gateway up: the boxes are known and the core runs before the first client is let in. With
-// discovery and no list kept on disk, clients are let in at once and wait for the first list.
-func Start(ctx context.Context, cfg *config.Config, opt Options) (_ *Instance, err error) {
-	i := &Instance{cfg: cfg, log: opt.Log, since: time.Now(), ran: make(chan struct{})}
-	s := cfg.Settings()
-	if opt.Hooks.Settings != nil {
-		opt.Hooks.Settings(&s)
+// Start starts a gateway. The list of servers is in force and the core runs before the first client connection
+// is accepted. With discovery and no list on disk, clients are accepted at once and wait for the first list.
+func Start(ctx context.Context, cfg *config.Config, options Options) (_ *Instance, err error) {
+	in := &Instance{cfg: cfg, log: options.Log, startedAt: time.Now(), loopDone: make(chan struct{})}
+	settings := cfg.Settings()
+	if options.Hooks.Settings != nil {
+		options.Hooks.Settings(&settings)
 	}
-	seed := opt.Seed
+	seed := options.Seed
 	if seed == 0 {
 		seed = rand.Uint64()
 	}
 	clock := core.NewClock()
-	if i.loop, err = core.NewLoop(s, seed, clock); err != nil {
+	if in.loop, err = core.NewLoop(settings, seed, clock); err != nil {
 		return nil, err
 	}
-	i.stalls = core.NewStalls(clock)
+	in.pauses = core.NewStalls(clock)
 	loops := cfg.EventLoops
 	if loops == 0 {
 		loops = max(1, min(4, runtime.NumCPU()/2))
 	}
-	i.pool, err = backend.New(i.loop, backend.Options{
+	in.pool, err = backend.New(in.loop, backend.Options{
 		Dialect:     backend.RESP{Name: fmt.Sprintf("cometpond-%d", cfg.Self), LoadInReplies: cfg.Backend.LoadSource == "answer"},
 		Connections: cfg.Backend.MaxConnections, Pipeline: cfg.Backend.MaxPipelined, ConnectTimeout: cfg.Backend.ConnectTimeout,
-		Loops: max(1, loops/2), Log: opt.Log.With().Str("part", "backend").Logger()})
+		Loops: max(1, loops/2), Log: options.Log.With().Str("part", "backend").Logger()})
 	if err != nil {
 		return nil, err
 	}
-	parts, stopParts := context.WithCancel(context.Background())
-	loop, stopLoop := context.WithCancel(context.Background())
-	i.stopParts, i.stopLoop = stopParts, stopLoop
+	background, stopBackground := context.WithCancel(context.Background())
+	loopContext, stopLoop := context.WithCancel(context.Background())
+	in.stopBackground, in.stopLoop = stopBackground, stopLoop
 	defer func() {
 		if err != nil {
-			i.end()
+			in.closeAll()
 		}
 	}()
-	i.run(func() { i.stalls.Run(parts) })
-	var told core.Peers
+	in.goBackground(func() { in.pauses.Run(background) })
+	var peers core.Peers
 	if len(cfg.Instances) > 1 {
-		if i.peers, err = peer.Open(cfg, i.loop, opt.Log.With().Str("part", "peer").Logger()); err != nil {
+		if in.peers, err = peer.Open(cfg, in.loop, options.Log.With().Str("part", "peer").Logger()); err != nil {
 			return nil, err
 		}
-		told = i.peers
-		i.run(func() { i.peers.Run(parts) })
+		peers = in.peers
+		in.goBackground(func() { in.peers.Run(background) })
 	}
-	var boxes core.Backend = i.pool
-	if opt.Hooks.Backend != nil {
-		boxes = opt.Hooks.Backend(boxes)
+	var servers core.Backend = in.pool
+	if options.Hooks.Backend != nil {
+		servers = options.Hooks.Backend(servers)
 	}
-	i.loop.Attach(boxes, told)
+	in.loop.Attach(servers, peers)
 	go func() {
-		defer close(i.ran)
-		i.loop.Run(loop)
+		defer close(in.loopDone)
+		in.loop.Run(loopContext)
 	}()
-	var lists discovery.Sink = i.loop
-	if opt.Hooks.ServerLists != nil {
-		lists = opt.Hooks.ServerLists(lists)
+	var lists discovery.Sink = in.loop
+	if options.Hooks.ServerLists != nil {
+		lists = options.Hooks.ServerLists(lists)
 	}
 	if cfg.Discovery == nil {
 		<-lists.Servers(cfg.Servers, true)
 	} else {
-		i.disc = discovery.NewClient(*cfg.Discovery, fmt.Sprintf("cometpond-%d", cfg.Self), lists,
-			opt.Log.With().Str("part", "discovery").Logger())
-		if err := i.disc.Restore(ctx); err != nil {
-			opt.Log.Warn().Err(err).Msg("kept list not used")
+		in.discovery = discovery.NewClient(*cfg.Discovery, fmt.Sprintf("cometpond-%d", cfg.Self), lists,
+			options.Log.With().Str("part", "discovery").Logger())
+		if err := in.discovery.Restore(ctx); err != nil {
+			options.Log.Warn().Err(err).Msg("stored list of servers could not be used")
 		}
-		i.run(func() { i.disc.Run(parts) })
+		in.goBackground(func() { in.discovery.Run(background) })
 	}
-	var calls front.Core = i.loop
-	if opt.Hooks.Calls != nil {
-		calls = opt.Hooks.Calls(calls)
+	var calls front.Core = in.loop
+	if options.Hooks.Calls != nil {
+		calls = options.Hooks.Calls(calls)
 	}
-	book := access.New(cfg)
+	registry := access.New(cfg)
 	if cfg.GRPC != nil {
-		i.rpc, err = rpc.Start(rpcCore{calls, i.loop, i.stalls}, rpc.Options{GRPC: *cfg.GRPC, Book: book, Log: opt.Log.With().Str("part", "rpc").Logger()})
+		in.rpc, err = rpc.Start(rpcCore{calls, in.loop, in.pauses}, rpc.Options{GRPC: *cfg.GRPC, Book: registry, Log: options.Log.With().Str("part", "rpc").Logger()})
 		if err != nil {
 			return nil, err
 		}
 	}
-	i.front, err = front.Start(calls, front.Options{Listen: cfg.Listen, Loops: loops, Bounds: cfg.Front, Book: book,
-		Info: i.Info, Age: i.stalls.Age, Read: opt.Hooks.FilterInput, Log: opt.Log.With().Str("part", "front").Logger()})
+	in.front, err = front.Start(calls, front.Options{Listen: cfg.Listen, Loops: loops, Bounds: cfg.Front, Book: registry,
+		Info: in.Info, Age: in.pauses.Age, Read: options.Hooks.FilterInput, Log: options.Log.With().Str("part", "front").Logger()})
 	if err != nil {
 		return nil, err
 	}
-	return i, nil
+	return in, nil
 }
 
-// rpcCore is the core as the gRPC front sees it, through the same hook as the other front.
+// rpcCore is the core as the gRPC front uses it. Calls pass through the same hook as those of the RESP front.
 type rpcCore struct {
 	front.Core
 	loop   *core.Loop
-	stalls *core.Stalls
+	pauses *core.Stalls
 }
 
-// Submit hands calls in. When their connections were last read is not known here, so that after a stall all
-// are taken to have been sent when it began.
+// Submit passes calls to the core. It does not know when their connections were last read, so after a pause of
+// the process all calls count as sent when the pause began.
 func (c rpcCore) Submit(calls []*core.Call) int {
-	age, _ := c.stalls.Age(0, false)
-	for _, k := range calls {
-		k.AgeS = age
+	age, _ := c.pauses.Age(0, false)
+	for _, call := range calls {
+		call.AgeS = age
 	}
 	return c.Core.Submit(calls)
 }
 
 func (c rpcCore) Return(calls []*core.Call) { c.loop.Return(calls) }
 
-func (i *Instance) run(f func()) {
-	i.parts.Add(1)
+// goBackground runs f in a goroutine that closeAll waits for.
+func (in *Instance) goBackground(f func()) {
+	in.background.Add(1)
 	go func() {
-		defer i.parts.Done()
+		defer in.background.Done()
 		f()
 	}()
 }
 
-// Addr is the address that RESP clients reach.
-func (i *Instance) Addr() net.Addr { return i.front.Addr() }
+// Addr returns the address on which RESP clients connect.
+func (in *Instance) Addr() net.Addr { return in.front.Addr() }
 
-// RPCAddr is the address that gRPC clients reach, nil without that front.
-func (i *Instance) RPCAddr() net.Addr {
-	if i.rpc == nil {
+// RPCAddr returns the address on which gRPC clients connect, or nil without a gRPC front.
+func (in *Instance) RPCAddr() net.Addr {
+	if in.rpc == nil {
 		return nil
 	}
-	return i.rpc.Addr()
+	return in.rpc.Addr()
 }
 
-// Stop turns new work away, lets what is in flight end for as long as the settings say, settles the rest,
-// and closes everything. When ctx is over it settles at once. Each request taken has had its answer.
-func (i *Instance) Stop(ctx context.Context) {
-	i.front.Drain()
-	if i.rpc != nil {
-		i.rpc.Drain()
+// Stop refuses new requests, waits up to the drain time of the settings for requests in flight, answers the
+// remaining ones with an error, and closes everything. It stops waiting when ctx is done. Each accepted request has
+// been answered when Stop returns.
+func (in *Instance) Stop(ctx context.Context) {
+	in.front.Drain()
+	if in.rpc != nil {
+		in.rpc.Drain()
 	}
-	i.loop.Drain()
-	deadline := time.NewTimer(i.cfg.DrainTimeout)
+	in.loop.Drain()
+	deadline := time.NewTimer(in.cfg.DrainTimeout)
 	defer deadline.Stop()
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
-	quiet := 0
-	for waiting := true; waiting && quiet < 3; { // three looks: what is being read just now comes in between
+	idleChecks := 0
+	// Three idle checks in a row, as requests that are being read may still arrive between two checks.
+	for waiting := true; waiting && idleChecks < 3; {
 		select {
 		case <-tick.C:
-			if s := i.loop.Status(); s.Held+s.Waiting == 0 {
-				quiet++
+			if status := in.loop.Status(); status.Held+status.Waiting == 0 {
+				idleChecks++
 			} else {
-				quiet = 0
+				idleChecks = 0
 			}
 		case <-deadline.C:
 			waiting = false
@@ -213,74 +216,75 @@
 			waiting = false
 		}
 	}
-	s := i.loop.Status()
-	i.stopLoop()
-	<-i.ran
-	flush, cancel := context.WithTimeout(context.Background(), time.Second)
+	status := in.loop.Status()
+	in.stopLoop()
+	<-in.loopDone
+	flushContext, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	i.front.Flush(flush)
-	i.log.Info().Int("settled", s.Held).Uint64("taken", s.Taken).Msg("stopped")
-	i.end()
+	in.front.Flush(flushContext)
+	in.log.Info().Int("settled", status.Held).Uint64("taken", status.Taken).Msg("gateway stopped")
+	in.closeAll()
 }
 
-// end closes what runs; it is for a start that failed as well.
-func (i *Instance) end() {
-	i.stopLoop()
+// closeAll closes every part that has been started. Start calls it too when it fails half way.
+func (in *Instance) closeAll() {
+	in.stopLoop()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	if i.rpc != nil { // all answers are with it: it only has to write them
-		i.rpc.Stop(ctx)
+	if in.rpc != nil { // it holds all answers already and only has to write them
+		in.rpc.Stop(ctx)
 	}
-	if i.front != nil {
-		i.front.Stop(ctx)
+	if in.front != nil {
+		in.front.Stop(ctx)
 	}
-	i.stopParts()
-	i.parts.Wait()
-	if i.pool != nil {
-		i.pool.Stop()
+	in.stopBackground()
+	in.background.Wait()
+	if in.pool != nil {
+		in.pool.Stop()
 	}
 }
 
-// Status is what the core last counted.
-func (i *Instance) Status() core.Status { return i.loop.Status() }
+// Status returns the latest counters of the core.
+func (in *Instance) Status() core.Status { return in.loop.Status() }
 
-// Info is the text that INFO answers: sections of name:value lines.
-func (i *Instance) Info() string {
-	var b strings.Builder
+// Info returns the reply to the command INFO: sections of name:value lines. The names are part of the interface
+// for operators' tools and stay as they are.
+func (in *Instance) Info() string {
+	var text strings.Builder
 	section := func(name string, pairs ...any) {
-		fmt.Fprintf(&b, "# %s\r\n", name)
+		fmt.Fprintf(&text, "# %s\r\n", name)
 		for k := 0; k < len(pairs); k += 2 {
-			fmt.Fprintf(&b, "%v:%v\r\n", pairs[k], pairs[k+1])
+			fmt.Fprintf(&text, "%v:%v\r\n", pairs[k], pairs[k+1])
 		}
 	}
-	section("Server", "instance", i.cfg.Self, "zone", i.cfg.Zone, "uptime_in_seconds", int(time.Since(i.since).Seconds()))
-	s := i.loop.Status()
-	section("Requests", "taken", s.Taken, "served", s.Served, "refused", s.Refused, "failed", s.Failed, "admitted", s.Admitted,
-		"client_gone", s.Gone, "joined", s.Joined, "repeated", s.Repeated, "overfull", s.Overfull, "overdue", s.Overdue,
-		"stalls", i.stalls.Seen(), "too_late", s.TooLate, "in_flight", s.Held, "waiting", s.Waiting, "attempts", s.Attempts, "attempt_timeouts", s.Timeouts,
-		"late_answers", s.Late, "probes", s.Probes)
-	if i.front != nil {
-		c := i.front.Counts()
-		section("Clients", "connections", c.Open, "connections_total", c.Opened, "connections_cut", c.Cut, "commands", c.Commands,
-			"logins_denied", c.Denied, "connections_parked", c.Parked, "input_held", c.Input.Held, "input_waiting", c.Input.Waiting,
-			"input_strangers", c.Input.Strangers)
+	section("Server", "instance", in.cfg.Self, "zone", in.cfg.Zone, "uptime_in_seconds", int(time.Since(in.startedAt).Seconds()))
+	status := in.loop.Status()
+	section("Requests", "taken", status.Taken, "served", status.Served, "refused", status.Refused, "failed", status.Failed, "admitted", status.Admitted,
+		"client_gone", status.Gone, "joined", status.Joined, "repeated", status.Repeated, "overfull", status.Overfull, "overdue", status.Overdue,
+		"stalls", in.pauses.Seen(), "too_late", status.TooLate, "in_flight", status.Held, "waiting", status.Waiting, "attempts", status.Attempts, "attempt_timeouts", status.Timeouts,
+		"late_answers", status.Late, "probes", status.Probes)
+	if in.front != nil {
+		counts := in.front.Counts()
+		section("Clients", "connections", counts.Open, "connections_total", counts.Opened, "connections_cut", counts.Cut, "commands", counts.Commands,
+			"logins_denied", counts.Denied, "connections_parked", counts.Parked, "input_held", counts.Input.Held, "input_waiting", counts.Input.Waiting,
+			"input_strangers", counts.Input.Strangers)
 	}
-	if i.rpc != nil {
-		c := i.rpc.Counts()
-		section("gRPC", "calls", c.Calls, "stream_requests", c.Requests, "streams", c.Open, "calls_denied", c.Denied,
-			"rpc_connections_cut", c.Cut)
+	if in.rpc != nil {
+		counts := in.rpc.Counts()
+		section("gRPC", "calls", counts.Calls, "stream_requests", counts.Requests, "streams", counts.Open, "calls_denied", counts.Denied,
+			"rpc_connections_cut", counts.Cut)
 	}
-	p := i.pool.Counts()
-	section("Boxes", "box_connections", p.OpenConnections, "dials", p.Dials, "dials_failed", p.DialsFailed, "attempts_broken", p.AttemptsBroken)
-	if i.disc != nil {
-		d := i.disc.Status()
-		section("Discovery", "discovery_connected", d.Connected, "list_version", d.Version, "list_boxes", d.Servers,
-			"lists_refused", d.RejectedLists)
+	poolCounts := in.pool.Counts()
+	section("Boxes", "box_connections", poolCounts.OpenConnections, "dials", poolCounts.Dials, "dials_failed", poolCounts.DialsFailed, "attempts_broken", poolCounts.AttemptsBroken)
+	if in.discovery != nil {
+		discoveryStatus := in.discovery.Status()
+		section("Discovery", "discovery_connected", discoveryStatus.Connected, "list_version", discoveryStatus.Version, "list_boxes", discoveryStatus.Servers,
+			"lists_refused", discoveryStatus.RejectedLists)
 	}
-	if i.peers != nil {
-		c := i.peers.Counts()
-		section("Peers", "messages_sent", c.Sent, "messages_unsent", c.Unsent, "messages_heard", c.Heard,
-			"messages_dropped", s.Dropped, "foreign", c.Foreign, "replayed", c.Replayed, "old", c.Old, "misdirected", c.WrongWay)
+	if in.peers != nil {
+		counts := in.peers.Counts()
+		section("Peers", "messages_sent", counts.Sent, "messages_unsent", counts.Unsent, "messages_heard", counts.Heard,
+			"messages_dropped", status.Dropped, "foreign", counts.Foreign, "replayed", counts.Replayed, "old", counts.Old, "misdirected", counts.WrongWay)
 	}
-	return b.String()
+	return text.String()
 }
--- a/internal/instance/instance_test.go
+++ b/internal/instance/instance_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) {
 	if part := os.Getenv("COMETPOND_PART"); part != "" {
-		if err := partOf(part, os.Getenv("COMETPOND_ARG")); err != nil {
+		if err := runMeasurementProcess(part, os.Getenv("COMETPOND_ARG")); err != nil {
 			os.Stderr.WriteString(err.Error() + "\n")
 			os.Exit(1)
 		}
@@ -28,89 +28,91 @@
 	goleak.VerifyTestMain(m)
 }
 
-// site is boxes in rooms of their own and the settings that name them.
-type site struct {
+// fixture holds three test servers, each in a zone of its own, and the settings text that lists them.
+type fixture struct {
 	t        *testing.T
-	boxes    []*standin.Box
+	servers  []*standin.Box
 	settings string
 
-	mu   sync.Mutex
-	seen []standin.Arrival
+	mu       sync.Mutex
+	arrivals []standin.Arrival
 }
 
-func newSite(t *testing.T, work float64) *site {
+func newFixture(t *testing.T, work float64) *fixture {
 	t.Helper()
 	raw, err := os.ReadFile("../../examples/one.sexp")
 	if err != nil {
 		t.Fatal(err)
 	}
 	base, _, _ := strings.Cut(string(raw), "; The gRPC front")
-	s := &site{t: t, settings: strings.Replace(base, "127.0.0.1:7379", "127.0.0.1:0", 1)}
-	s.settings = strings.Replace(s.settings, "(burst 20)", "(burst 200)", 1)
-	cfg, err := config.Parse("one", s.settings)
+	fx := &fixture{t: t, settings: strings.Replace(base, "127.0.0.1:7379", "127.0.0.1:0", 1)}
+	fx.settings = strings.Replace(fx.settings, "(burst 20)", "(burst 200)", 1)
+	cfg, err := config.Parse("one", fx.settings)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 3 {
-		b, err := standin.NewBox("127.0.0.1:0", standin.BoxOptions{Params: standin.DefaultParams, Jobs: standin.Jobs(cfg, work),
+		server, err := standin.NewBox("127.0.0.1:0", standin.BoxOptions{Params: standin.DefaultParams, Jobs: standin.Jobs(cfg, work),
 			Seed: uint64(i), Saw: func(a standin.Arrival) {
-				s.mu.Lock()
-				defer s.mu.Unlock()
-				s.seen = append(s.seen, a)
+				fx.mu.Lock()
+				defer fx.mu.Unlock()
+				fx.arrivals = append(fx.arrivals, a)
 			}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(b.Close)
-		s.boxes = append(s.boxes, b)
-		s.settings = strings.ReplaceAll(s.settings, fmt.Sprintf("127.0.0.1:%d", 7401+i), b.Addr())
+		t.Cleanup(server.Close)
+		fx.servers = append(fx.servers, server)
+		fx.settings = strings.ReplaceAll(fx.settings, fmt.Sprintf("127.0.0.1:%d", 7401+i), server.Addr())
 	}
-	return s
+	return fx
 }
 
-// ran counts how often a key ran, and the boxes that were sent it.
-func (s *site) ran(key string) (n int, boxes map[string]bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	boxes = map[string]bool{}
-	for _, a := range s.seen {
+// executions returns how often the request with this key was executed and which servers received it.
+func (fx *fixture) executions(key string) (n int, servers map[string]bool) {
+	fx.mu.Lock()
+	defer fx.mu.Unlock()
+	servers = map[string]bool{}
+	for _, a := range fx.arrivals {
 		if len(a.Words) > 1 && a.Words[1] == key {
-			boxes[a.Box] = true
+			servers[a.Box] = true
 			if a.Executed {
 				n++
 			}
 		}
 	}
-	return n, boxes
+	return n, servers
 }
 
-func (s *site) start(seed uint64) (*Instance, *redis.Client) {
-	s.t.Helper()
-	cfg, err := config.Parse("one", s.settings)
+func (fx *fixture) start(seed uint64) (*Instance, *redis.Client) {
+	fx.t.Helper()
+	cfg, err := config.Parse("one", fx.settings)
 	if err != nil {
-		s.t.Fatal(err)
+		fx.t.Fatal(err)
 	}
 	in, err := Start(context.Background(), cfg, Options{Log: zerolog.Nop(), Seed: seed})
 	if err != nil {
-		s.t.Fatal(err)
+		fx.t.Fatal(err)
 	}
 	a := in.Addr()
 	return in, redis.NewClient(&redis.Options{Addr: a.String(), Username: "acme", Password: "acme-secret", MaxRetries: -1,
 		ReadTimeout: 20 * time.Second})
 }
 
+// stop stops the instance and checks that each accepted request has been counted with exactly one outcome.
 func stop(t *testing.T, in *Instance, c *redis.Client) {
 	t.Helper()
 	defer c.Close()
 	in.Stop(context.Background())
-	if s := in.Status(); s.Taken != s.Served+s.Refused+s.Failed+s.Admitted+s.Gone || s.Held != 0 {
-		t.Errorf("answers do not add up: %+v", s)
+	if status := in.Status(); status.Taken != status.Served+status.Refused+status.Failed+status.Admitted+status.Gone || status.Held != 0 {
+		t.Errorf("answers do not add up: %+v", status)
 	}
 }
 
-func TestServesWorkAndLimits(t *testing.T) {
-	s := newSite(t, 0.001)
-	in, c := s.start(1)
+// Served commands and CL.THROTTLE of one customer draw on the same quota.
+func TestServesCommandsAndThrottle(t *testing.T) {
+	fx := newFixture(t, 0.001)
+	in, c := fx.start(1)
 	defer stop(t, in, c)
 	ctx := context.Background()
 	for _, words := range [][]any{{"JOB.STATUS", "1"}, {"IMAGE.FETCH", "2"}, {"SIGN.SUBMIT", "k", "img"}} {
@@ -121,7 +123,7 @@
 	}
 	v, err := c.Do(ctx, "CL.THROTTLE", "acme", 199, 10, 1, 60).Int64Slice()
 	if err != nil || v[0] != 0 || v[1] != 200 || v[2] < 137 || v[2] > 140 || v[3] != -1 {
-		t.Fatalf("work and limits share the quota: %v %v", v, err)
+		t.Fatalf("commands and CL.THROTTLE do not share the quota: %v %v", v, err)
 	}
 	for range 3 {
 		v, err = c.Do(ctx, "CL.THROTTLE", "acme", 199, 10, 1, 60).Int64Slice()
@@ -134,10 +136,11 @@
 	}
 }
 
-// A key repeated through the same instance runs once, whether it is under way or answered.
-func TestKeyThroughTheSame(t *testing.T) {
-	s := newSite(t, 0.05)
-	in, c := s.start(1)
+// A request repeated with the same key through the same instance is executed once, whether the first one is still
+// in flight or has been answered.
+func TestRepeatThroughSameInstance(t *testing.T) {
+	fx := newFixture(t, 0.05)
+	in, c := fx.start(1)
 	defer stop(t, in, c)
 	ctx := context.Background()
 	var work sync.WaitGroup
@@ -154,52 +157,53 @@
 	if v, err := c.Do(ctx, "SIGN.SUBMIT", "same", "img").Text(); err != nil || v != "SIGN.SUBMIT done same" {
 		t.Errorf("%q %v", v, err)
 	}
-	if n, _ := s.ran("same"); n != 1 {
-		t.Errorf("ran %d times", n)
+	if n, _ := fx.executions("same"); n != 1 {
+		t.Errorf("executed %d times, want once", n)
 	}
 }
 
-// Keys repeated through another instance, and through one that was restarted and knows nothing, run once:
-// they reach the same room.
-func TestKeyThroughOthers(t *testing.T) {
-	s := newSite(t, 0.001)
-	a, ca := s.start(1)
-	b, cb := s.start(2)
+// Requests repeated with the same key through another instance, or through a restarted one without any state, are
+// executed once: all instances send a key to the same zone, which detects the repeat.
+func TestRepeatThroughOtherInstances(t *testing.T) {
+	fx := newFixture(t, 0.001)
+	first, firstClient := fx.start(1)
+	second, secondClient := fx.start(2)
 	ctx := context.Background()
 	const keys = 60
 	for i := range keys {
-		if err := ca.Do(ctx, "SIGN.SUBMIT", fmt.Sprint("key", i), "img").Err(); err != nil {
+		if err := firstClient.Do(ctx, "SIGN.SUBMIT", fmt.Sprint("key", i), "img").Err(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	stop(t, a, ca)
-	again, cagain := s.start(3)
+	stop(t, first, firstClient)
+	restarted, restartedClient := fx.start(3)
 	for i := range keys {
-		for _, c := range []*redis.Client{cb, cagain} {
+		for _, c := range []*redis.Client{secondClient, restartedClient} {
 			if v, err := c.Do(ctx, "SIGN.SUBMIT", fmt.Sprint("key", i), "img").Text(); err != nil || v != fmt.Sprint("SIGN.SUBMIT done key", i) {
 				t.Fatalf("key%d: %q %v", i, v, err)
 			}
 		}
 	}
-	rooms := map[string]int{}
+	zones := map[string]int{}
 	for i := range keys {
-		n, boxes := s.ran(fmt.Sprint("key", i))
-		if n != 1 || len(boxes) != 1 {
-			t.Errorf("key%d ran %d times, at %v", i, n, boxes)
+		n, servers := fx.executions(fmt.Sprint("key", i))
+		if n != 1 || len(servers) != 1 {
+			t.Errorf("key%d was executed %d times, at %v; want once at one server", i, n, servers)
 		}
-		for box := range boxes {
-			rooms[box]++
+		for server := range servers {
+			zones[server]++
 		}
 	}
-	if len(rooms) != 3 {
-		t.Errorf("the keys went to %d rooms of 3: %v", len(rooms), rooms)
+	if len(zones) != 3 {
+		t.Errorf("the keys reached %d of 3 zones: %v", len(zones), zones)
 	}
-	stop(t, b, cb)
-	stop(t, again, cagain)
+	stop(t, second, secondClient)
+	stop(t, restarted, restartedClient)
 }
 
-// A stop lets what is in flight end, and a stop whose time is up settles it: each call has one answer.
-func TestStop(t *testing.T) {
+// Stop lets a request in flight finish within the drain time, and answers it with an error when that time is over:
+// each call gets one answer.
+func TestStopAnswersRequestsInFlight(t *testing.T) {
 	for name, c := range map[string]struct {
 		drain string
 		want  func(string, error) bool
@@ -208,44 +212,44 @@
 		"settled": {"0s", func(v string, err error) bool { return err != nil && strings.HasPrefix(err.Error(), "FAILED") }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t, 0.2)
-			s.settings = strings.Replace(s.settings, "(me 0)", "(me 0) (drain "+c.drain+")", 1)
-			in, client := s.start(1)
-			type end struct {
+			fx := newFixture(t, 0.2)
+			fx.settings = strings.Replace(fx.settings, "(me 0)", "(me 0) (drain "+c.drain+")", 1)
+			in, client := fx.start(1)
+			type outcome struct {
 				v   string
 				err error
 			}
-			done := make(chan end, 1)
+			done := make(chan outcome, 1)
 			go func() {
 				v, err := client.Do(context.Background(), "SIGN.SUBMIT", "k", "img").Text()
-				done <- end{v, err}
+				done <- outcome{v, err}
 			}()
 			for {
-				if n, _ := s.ran("k"); n == 1 {
+				if n, _ := fx.executions("k"); n == 1 {
 					break
 				}
 				time.Sleep(time.Millisecond)
 			}
 			stop(t, in, client)
-			if e := <-done; !c.want(e.v, e.err) {
-				t.Errorf("%q %v", e.v, e.err)
+			if got := <-done; !c.want(got.v, got.err) {
+				t.Errorf("%q %v", got.v, got.err)
 			}
 		})
 	}
 }
 
-// Instances that come and go leave no descriptor behind.
-func TestNothingLeaks(t *testing.T) {
-	s := newSite(t, 0.001)
+// Starting and stopping instances leaks no file descriptors.
+func TestNoDescriptorLeaks(t *testing.T) {
+	fx := newFixture(t, 0.001)
 	count := func() int {
 		list, err := os.ReadDir("/proc/self/fd")
 		if err != nil {
-			t.Skip("no /proc here")
+			t.Skip("/proc is not available")
 		}
 		return len(list)
 	}
 	cycle := func() {
-		in, c := s.start(1)
+		in, c := fx.start(1)
 		if err := c.Do(context.Background(), "JOB.STATUS", "1").Err(); err != nil {
 			t.Error(err)
 		}
@@ -258,7 +262,7 @@
 	}
 	for end := time.Now().Add(10 * time.Second); count() > before; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d descriptors, %d before", count(), before)
+			t.Fatalf("%d file descriptors are open, %d before", count(), before)
 		}
 	}
 }
--- a/internal/instance/measure_test.go
+++ b/internal/instance/measure_test.go
@@ -22,21 +22,22 @@
 	"cometpond/policy"
 )
 
-// The measurements of docs/measurements.md. Each is a ratio of two things taken in one run:
+// The benchmarks behind docs/measurements.md. Each reports a ratio of two values measured in one run:
 //
 //	go test -run xxx -bench . -benchtime 1x ./internal/instance
 
-// wide is a settings file of one instance with n clients on a plan that refuses nobody.
-func wide(tb testing.TB, n int, boxes []string) *config.Config {
+// unlimitedConfig returns the configuration of one instance with n clients on a plan so large that no request is refused.
+func unlimitedConfig(tb testing.TB, n int, servers []string) *config.Config {
 	tb.Helper()
-	c, err := config.Parse("wide", settingsOf(n, boxes))
+	c, err := config.Parse("wide", unlimitedSettings(n, servers))
 	if err != nil {
 		tb.Fatal(err)
 	}
 	return c
 }
 
-func settingsOf(n int, boxes []string) string {
+// unlimitedSettings returns the settings text for unlimitedConfig.
+func unlimitedSettings(n int, servers []string) string {
 	var b strings.Builder
 	fmt.Fprint(&b, `(ingress (me 0) (zone a) (listen "127.0.0.1:0"))
 (front (connections 20000) (pipeline 4096) (output 67108864))
@@ -44,7 +45,7 @@
 (commands (command JOB.STATUS (class job-status) (arity 2)))
 (plans (plan wide (rate 16000) (burst 8000)))
 (boxes`)
-	for _, a := range boxes {
+	for _, a := range servers {
 		fmt.Fprintf(&b, " (box %q (zone a))", a)
 	}
 	fmt.Fprint(&b, ")\n(clients")
@@ -56,7 +57,7 @@
 	return b.String()
 }
 
-func run(tb testing.TB, cfg *config.Config) (*Instance, string) {
+func startGateway(tb testing.TB, cfg *config.Config) (*Instance, string) {
 	tb.Helper()
 	in, err := Start(context.Background(), cfg, Options{Log: zerolog.Nop(), Seed: 1})
 	if err != nil {
@@ -82,11 +83,12 @@
 	return c
 }
 
-// directly drives the module alone in a loop for a while, and returns its decisions a second.
-func directly(tb testing.TB, clients int, span time.Duration) float64 {
-	act := &silent{}
-	s := wide(tb, clients, []string{"127.0.0.1:1"}).Settings()
-	g, err := policy.New(s, 1, 1000, act)
+// moduleDecisionsPerS calls the policy module in a loop, without a gateway around it, and returns its decisions a
+// second.
+func moduleDecisionsPerS(tb testing.TB, clients int, span time.Duration) float64 {
+	output := &discardOutput{}
+	settings := unlimitedConfig(tb, clients, []string{"127.0.0.1:1"}).Settings()
+	gateway, err := policy.New(settings, 1, 1000, output)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -94,58 +96,59 @@
 	for i := range names {
 		names[i] = fmt.Sprint("c", i)
 	}
-	n, begin, ticked := 0, time.Now(), 0.0
+	n, begin, lastTimer := 0, time.Now(), 0.0
 	for now := 0.0; now < span.Seconds(); now = time.Since(begin).Seconds() {
-		if now > ticked+0.02 {
-			ticked = now
-			g.Timer(1000+now, 1)
+		if now > lastTimer+0.02 {
+			lastTimer = now
+			gateway.Timer(1000+now, 1)
 		}
-		for range 512 { // as many to a reading of the clock as the core takes
+		for range 512 { // the core too reads the clock once for up to 512 requests
 			n++
 			for i := range ids {
 				ids[i] = byte(n >> (8 * i))
 			}
-			g.Request(1000+now, policy.Request{ID: string(ids), Class: "job-status", Plan: "wide", Customer: names[n%clients],
+			gateway.Request(1000+now, policy.Request{ID: string(ids), Class: "job-status", Plan: "wide", Customer: names[n%clients],
 				DeadlineS: 1002.5 + now, Entries: 1, Units: 1, Limit: true})
 		}
 	}
 	return float64(n) / time.Since(begin).Seconds()
 }
 
-type silent struct{}
+// discardOutput ignores every action of the policy module.
+type discardOutput struct{}
 
-func (silent) Send(string, string, policy.Timing)     {}
-func (silent) Refuse(string, float64, policy.Refusal) {}
-func (silent) Fail(string)                            {}
-func (silent) Admit(string)                           {}
-func (silent) Cancel(string, int)                     {}
-func (silent) SetTimer(uint64, float64)               {}
-func (silent) Probe(string)                           {}
-func (silent) Tell(int, []byte)                       {}
-func (silent) Log(string)                             {}
+func (discardOutput) Send(string, string, policy.Timing)     {}
+func (discardOutput) Refuse(string, float64, policy.Refusal) {}
+func (discardOutput) Fail(string)                            {}
+func (discardOutput) Admit(string)                           {}
+func (discardOutput) Cancel(string, int)                     {}
+func (discardOutput) SetTimer(uint64, float64)               {}
+func (discardOutput) Probe(string)                           {}
+func (discardOutput) Tell(int, []byte)                       {}
+func (discardOutput) Log(string)                             {}
 
-// pump keeps one connection busy with a command, so many to a write, and returns the answers a second of
-// all connections together. mark is a text that comes once in each answer.
-func pump(tb testing.TB, addr string, conns, depth int, command []byte, mark string, span time.Duration) float64 {
-	var total sync.WaitGroup
+// pipelinedAnswersPerS keeps connections busy with a command, writing depth commands at a time, and returns the answers
+// a second of all connections together. mark is a one-byte text that occurs once in each answer.
+func pipelinedAnswersPerS(tb testing.TB, addr string, conns, depth int, command []byte, mark string, span time.Duration) float64 {
+	var workers sync.WaitGroup
 	counts := make([]int, conns)
 	stop := time.Now().Add(span)
 	begin := time.Now()
 	for i := range conns {
 		c := login(tb, addr, fmt.Sprint("c", i))
-		total.Add(1)
+		workers.Add(1)
 		go func() {
-			defer total.Done()
+			defer workers.Done()
 			defer c.Close()
 			batch := bytes.Repeat(command, depth)
 			buf := make([]byte, 64<<10)
-			ahead := 0
+			inFlight := 0
 			for time.Now().Before(stop) {
-				for ahead <= depth && ahead < 2*depth { // all together under what the core's queue holds
+				for inFlight <= depth && inFlight < 2*depth { // keeps the total in flight below the size of the core's queue
 					if _, err := c.Write(batch); err != nil {
 						return
 					}
-					ahead += depth
+					inFlight += depth
 					if depth == 1 {
 						break
 					}
@@ -154,13 +157,13 @@
 				if err != nil {
 					return
 				}
-				got := bytes.Count(buf[:n], []byte(mark)) // marks are one byte long: none is cut in two
-				counts[i] += got
-				ahead -= got
+				answers := bytes.Count(buf[:n], []byte(mark)) // a mark of one byte cannot be split between two reads
+				counts[i] += answers
+				inFlight -= answers
 			}
 		}()
 	}
-	total.Wait()
+	workers.Wait()
 	sum := 0
 	for _, n := range counts {
 		sum += n
@@ -168,9 +171,9 @@
 	return float64(sum) / time.Since(begin).Seconds()
 }
 
-var throttle = resp.AppendCommand(nil, "CL.THROTTLE", "k", "15", "30", "60")
+var throttleCommand = resp.AppendCommand(nil, "CL.THROTTLE", "k", "15", "30", "60")
 
-func boxesFor(tb testing.TB, work float64) []string {
+func startServers(tb testing.TB, work float64) []string {
 	var list []string
 	for i := range 3 {
 		p := standin.DefaultParams
@@ -185,26 +188,28 @@
 	return list
 }
 
-// (c) CL.THROTTLE, pipelined from several connections, against the module driven directly.
+// BenchmarkThrottlePipelined compares pipelined CL.THROTTLE from several connections with the policy module alone
+// (measurement c).
 func BenchmarkThrottlePipelined(b *testing.B) {
 	for b.Loop() {
-		direct := directly(b, 64, 2*time.Second)
-		_, addr := run(b, wide(b, 64, []string{"127.0.0.1:1"}))
-		served := pump(b, addr, 32, 250, throttle, "*", 4*time.Second)
+		direct := moduleDecisionsPerS(b, 64, 2*time.Second)
+		_, addr := startGateway(b, unlimitedConfig(b, 64, []string{"127.0.0.1:1"}))
+		served := pipelinedAnswersPerS(b, addr, 32, 250, throttleCommand, "*", 4*time.Second)
 		b.ReportMetric(served, "answers/s")
 		b.ReportMetric(direct, "module/s")
 		b.ReportMetric(served/direct, "ratio")
 	}
 }
 
-// (c) CL.THROTTLE one at a time from 50 connections, against PING on the same front.
+// BenchmarkThrottleOneByOne compares CL.THROTTLE, one at a time from 50 connections, with PING on the same front
+// (measurement c).
 func BenchmarkThrottleOneByOne(b *testing.B) {
 	for b.Loop() {
-		_, addr := run(b, wide(b, 64, []string{"127.0.0.1:1"}))
+		_, addr := startGateway(b, unlimitedConfig(b, 64, []string{"127.0.0.1:1"}))
 		var pings, asks float64
-		for range 3 { // in turn, so that the machine's moods hit both
-			pings += pump(b, addr, 50, 1, []byte("PING\r\n"), "+", time.Second) / 3
-			asks += pump(b, addr, 50, 1, throttle, "*", time.Second) / 3
+		for range 3 { // alternating, so that load changes of the machine affect both
+			pings += pipelinedAnswersPerS(b, addr, 50, 1, []byte("PING\r\n"), "+", time.Second) / 3
+			asks += pipelinedAnswersPerS(b, addr, 50, 1, throttleCommand, "*", time.Second) / 3
 		}
 		b.ReportMetric(pings, "ping/s")
 		b.ReportMetric(asks, "throttle/s")
@@ -212,15 +217,15 @@
 	}
 }
 
-// (b) Latency that the gateway adds at 1,000 requests a second, over asking a box directly. The boxes answer
-// at once, so that nothing but the way is measured.
+// BenchmarkLatencyAdded measures the latency that the gateway adds to a direct request to a server, at 1,000 requests a
+// second (measurement b). The servers answer at once, so that only the path is measured.
 func BenchmarkLatencyAdded(b *testing.B) {
 	for b.Loop() {
-		list := boxesFor(b, 0.000001)
-		_, addr := run(b, wide(b, 64, list))
-		direct := latency(b, func(i int) (string, string) { return list[i%3], "" })
-		_ = latency(b, func(i int) (string, string) { return addr, fmt.Sprint("c", i%64) }) // until the connections stand
-		through := latency(b, func(i int) (string, string) { return addr, fmt.Sprint("c", i%64) })
+		list := startServers(b, 0.000001)
+		_, addr := startGateway(b, unlimitedConfig(b, 64, list))
+		direct := measureLatency(b, func(i int) (string, string) { return list[i%3], "" })
+		_ = measureLatency(b, func(i int) (string, string) { return addr, fmt.Sprint("c", i%64) }) // opens the connections
+		through := measureLatency(b, func(i int) (string, string) { return addr, fmt.Sprint("c", i%64) })
 		for _, q := range []struct {
 			name string
 			at   float64
@@ -233,8 +238,9 @@
 	}
 }
 
-// latency sends 1,000 a second over 20 connections for some seconds, on time whatever the answers do.
-func latency(tb testing.TB, where func(i int) (addr, client string)) []time.Duration {
+// measureLatency sends 1,000 requests a second over 20 connections for 5 s, spaced evenly on each connection, and
+// returns the latencies.
+func measureLatency(tb testing.TB, where func(i int) (addr, client string)) []time.Duration {
 	const conns, per = 20, 250
 	var mu sync.Mutex
 	var all []time.Duration
@@ -279,12 +285,14 @@
 	return all
 }
 
+// quantile sorts list and returns its quantile q.
 func quantile(list []time.Duration, q float64) time.Duration {
 	sort.Slice(list, func(i, j int) bool { return list[i] < list[j] })
 	return list[min(len(list)-1, int(q*float64(len(list))))]
 }
 
-// (d) Memory with 9,000 idle connections (both ends are in this process, which may hold 20,000 descriptors), and with 100,000 customers that have each asked once.
+// BenchmarkMemory measures the memory of 9,000 idle connections, whose two ends are both in this process with its limit
+// of 20,000 file descriptors, and of 100,000 customers after one request each (measurement d).
 func BenchmarkMemory(b *testing.B) {
 	for b.Loop() {
 		heap := func() float64 {
@@ -294,9 +302,9 @@
 			runtime.ReadMemStats(&m)
 			return float64(m.HeapAlloc + m.StackInuse)
 		}
-		cfg := wide(b, 100_000, []string{"127.0.0.1:1"})
+		cfg := unlimitedConfig(b, 100_000, []string{"127.0.0.1:1"})
 		empty := heap()
-		in, addr := run(b, cfg)
+		in, addr := startGateway(b, cfg)
 		before := heap()
 		b.ReportMetric((before-empty)/100_000, "B/client-listed")
 		conns := make([]net.Conn, 9_000)
@@ -304,7 +312,7 @@
 			conns[i] = login(b, addr, fmt.Sprint("c", i))
 		}
 		idle := heap()
-		b.ReportMetric((idle-before)/float64(len(conns)), "B/connection") // with the client's own end of it
+		b.ReportMetric((idle-before)/float64(len(conns)), "B/connection") // includes the client's end
 		for _, c := range conns {
 			c.Close()
 		}
@@ -316,7 +324,7 @@
 			c := login(b, addr, fmt.Sprint("c", i))
 			for k := i; k < i+500; k++ {
 				batch := resp.AppendCommand(nil, "AUTH", fmt.Sprint("c", k), "s")
-				batch = append(batch, throttle...)
+				batch = append(batch, throttleCommand...)
 				if _, err := c.Write(batch); err != nil {
 					b.Fatal(err)
 				}
@@ -335,11 +343,12 @@
 	}
 }
 
-// (e) CPU a request: of the whole process, and of its parts by sampling (docs/measurements.md has the way).
+// BenchmarkCPU measures the CPU time a request of the whole process; docs/measurements.md tells how to profile its parts
+// (measurement e).
 func BenchmarkCPU(b *testing.B) {
-	list := boxesFor(b, 0.000001)
-	_, addr := run(b, wide(b, 64, list))
-	spent := func() float64 {
+	list := startServers(b, 0.000001)
+	_, addr := startGateway(b, unlimitedConfig(b, 64, list))
+	cpuMicros := func() float64 {
 		var r syscall.Rusage
 		if err := syscall.Getrusage(syscall.RUSAGE_SELF, &r); err != nil {
 			b.Fatal(err)
@@ -347,11 +356,11 @@
 		return float64(r.Utime.Nano()+r.Stime.Nano()) / 1e3
 	}
 	for b.Loop() {
-		from := spent()
-		work := pump(b, addr, 16, 1, resp.AppendCommand(nil, "JOB.STATUS", "1"), "+", 3*time.Second) * 3
-		mid := spent()
-		limits := pump(b, addr, 16, 1, throttle, "*", 3*time.Second) * 3
-		b.ReportMetric((mid-from)/work, "us/work") // with client and box, which run in this process too
-		b.ReportMetric((spent()-mid)/limits, "us/limit")
+		start := cpuMicros()
+		served := pipelinedAnswersPerS(b, addr, 16, 1, resp.AppendCommand(nil, "JOB.STATUS", "1"), "+", 3*time.Second) * 3
+		mid := cpuMicros()
+		limits := pipelinedAnswersPerS(b, addr, 16, 1, throttleCommand, "*", 3*time.Second) * 3
+		b.ReportMetric((mid-start)/served, "us/work") // includes client and server, which run in this process too
+		b.ReportMetric((cpuMicros()-mid)/limits, "us/limit")
 	}
 }
--- a/internal/instance/tail_test.go
+++ b/internal/instance/tail_test.go
@@ -19,8 +19,9 @@
 	"cometpond/internal/standin"
 )
 
-// partOf has the test binary be one part of a measurement, in a process of its own, until its input ends.
-func partOf(part, arg string) error {
+// runMeasurementProcess runs one part of a benchmark (server, relay or gateway) in this process until standard input
+// ends, and prints the part's address.
+func runMeasurementProcess(part, arg string) error {
 	var addr string
 	switch part {
 	case "box":
@@ -51,7 +52,7 @@
 		defer in.Stop(context.Background())
 		addr = in.Addr().String()
 	}
-	if file := os.Getenv("COMETPOND_TRACE"); file != "" && part == "gateway" { // for go tool trace: hop by hop
+	if file := os.Getenv("COMETPOND_TRACE"); file != "" && part == "gateway" { // for go tool trace, which shows each hop
 		f, err := os.Create(file)
 		if err != nil {
 			return err
@@ -67,25 +68,25 @@
 	return nil
 }
 
-// process starts a part and returns its address.
-func process(tb testing.TB, part, arg string, env ...string) string {
+// startMeasurementProcess starts a part in a process of its own and returns its address.
+func startMeasurementProcess(tb testing.TB, part, arg string, env ...string) string {
 	tb.Helper()
-	c := exec.Command(os.Args[0])
-	c.Env = append(append(os.Environ(), "COMETPOND_PART="+part, "COMETPOND_ARG="+arg), env...)
-	c.Stderr = os.Stderr
-	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	in, err := c.StdinPipe()
+	cmd := exec.Command(os.Args[0])
+	cmd.Env = append(append(os.Environ(), "COMETPOND_PART="+part, "COMETPOND_ARG="+arg), env...)
+	cmd.Stderr = os.Stderr
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	in, err := cmd.StdinPipe()
 	if err != nil {
 		tb.Fatal(err)
 	}
-	out, err := c.StdoutPipe()
+	out, err := cmd.StdoutPipe()
 	if err != nil {
 		tb.Fatal(err)
 	}
-	if err := c.Start(); err != nil {
+	if err := cmd.Start(); err != nil {
 		tb.Fatal(err)
 	}
-	tb.Cleanup(func() { in.Close(); _ = c.Wait() })
+	tb.Cleanup(func() { in.Close(); _ = cmd.Wait() })
 	addr, err := bufio.NewReader(out).ReadString('\n')
 	if err != nil {
 		tb.Fatal(err)
@@ -93,26 +94,26 @@
 	return strings.TrimSpace(addr)
 }
 
-// BenchmarkTail is the latency at 1,000 a second through the gateway, against asking the box through a bare TCP
-// relay, which has the same two hops: all parts are processes of their own, and the two ways take turns.
+// BenchmarkTail compares the latency at 1,000 requests a second through the gateway with that through a plain TCP relay,
+// which has the same two hops. Server, relay and gateway are processes of their own, and the two paths alternate.
 func BenchmarkTail(b *testing.B) {
 	for b.Loop() {
-		box := process(b, "box", "")
-		relay := process(b, "relay", box)
-		gateway := process(b, "gateway", settingsOf(64, []string{box}))
+		server := startMeasurementProcess(b, "box", "")
+		relay := startMeasurementProcess(b, "relay", server)
+		gateway := startMeasurementProcess(b, "gateway", unlimitedSettings(64, []string{server}))
 		if _, err := net.Dial("tcp", relay); err != nil {
 			b.Fatal(err)
 		}
-		var bare, through []time.Duration
+		var relayed, through []time.Duration
 		for range 4 {
-			bare = append(bare, latency(b, func(int) (string, string) { return relay, "" })...)
-			through = append(through, latency(b, func(i int) (string, string) { return gateway, fmt.Sprint("c", i%64) })...)
+			relayed = append(relayed, measureLatency(b, func(int) (string, string) { return relay, "" })...)
+			through = append(through, measureLatency(b, func(i int) (string, string) { return gateway, fmt.Sprint("c", i%64) })...)
 		}
 		for _, q := range []struct {
 			name string
 			at   float64
 		}{{"p50", 0.5}, {"p90", 0.9}, {"p99", 0.99}} {
-			d, t := quantile(bare, q.at), quantile(through, q.at)
+			d, t := quantile(relayed, q.at), quantile(through, q.at)
 			b.ReportMetric(float64(d.Microseconds()), q.name+"-relay-us")
 			b.ReportMetric(float64(t.Microseconds()), q.name+"-gateway-us")
 			b.ReportMetric(float64(t-d)/float64(d), q.name+"-added-ratio")
@@ -120,15 +121,15 @@
 	}
 }
 
-// BenchmarkOneByOne is CL.THROTTLE one at a time from 50 connections, against PING, the gateway in a process of
-// its own.
+// BenchmarkOneByOne compares CL.THROTTLE, one at a time from 50 connections, with PING; the gateway is a process of its
+// own.
 func BenchmarkOneByOne(b *testing.B) {
 	for b.Loop() {
-		addr := process(b, "gateway", settingsOf(64, []string{"127.0.0.1:1"}))
+		addr := startMeasurementProcess(b, "gateway", unlimitedSettings(64, []string{"127.0.0.1:1"}))
 		var pings, asks float64
 		for range 4 {
-			pings += pump(b, addr, 50, 1, []byte("PING\r\n"), "+", time.Second) / 4
-			asks += pump(b, addr, 50, 1, throttle, "*", time.Second) / 4
+			pings += pipelinedAnswersPerS(b, addr, 50, 1, []byte("PING\r\n"), "+", time.Second) / 4
+			asks += pipelinedAnswersPerS(b, addr, 50, 1, throttleCommand, "*", time.Second) / 4
 		}
 		b.ReportMetric(pings, "ping/s")
 		b.ReportMetric(asks, "throttle/s")
