--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,9 @@
-// Package config reads the settings of an instance from a file of S-expressions and checks them. What is
-// wrong is told with file, line and field, and with what would be right. The file holds facts and wishes
-// of the operator (addresses, plans, classes, the figures of the rules); no tuned value of a decision.
+// Package config reads the settings of an instance from a file of S-expressions and validates them. Errors name file,
+// line and field, and say what is expected. The file holds the operator's facts and requirements (addresses, plans,
+// classes, the thresholds of the rules); the tuning constants of the policy module are not part of it.
+//
+// The keywords of the file are its outside names and stay as they are; the fields of the types here use the terms of
+// the field. (box ..) is a back-end server, for example, and (aim ..) the target latency of a class.
 package config
 
 import (
@@ -16,37 +19,37 @@
 	"cometpond/policy"
 )
 
-// Bounds that the messages between instances set (policy/message.go, version 2).
+// Limits set by the format of the messages between instances (policy/message.go, version 2).
 const (
-	mostUnits = 60
-	mostBurst = 8000
-	mostRate  = 16000
-	mostPlans = 15
+	maxUnits = 60
+	maxBurst = 8000
+	maxRate  = 16000
+	maxPlans = 15
 )
 
-// Config is a whole settings file. Times are in the units that the fields say.
+// Config holds the content of a settings file. Fields with the suffix S are in seconds.
 type Config struct {
 	Self       int    // this instance's number
-	Zone       string // this instance's room
+	Zone       string // this instance's zone
 	Listen     string // address for RESP clients
-	EventLoops int    // event loops of the front, 0: by the machine
+	EventLoops int    // event loops of the RESP front, 0: chosen by the number of CPUs
 	Instances  []Instance
 	PeerKey    []byte // 32 bytes that all instances share, nil with one instance
 
-	Servers   []policy.Server // the list of boxes, where it stands in the file
-	Discovery *Discovery      // or where it is pushed from
+	Servers   []policy.Server // the list of servers, nil with discovery
+	Discovery *Discovery      // where lists of servers come from, nil if the file holds the list
 
 	Classes       []policy.Class
 	Plans         []policy.Plan
 	Commands      []Command
-	ThrottleClass int // index of the class that CL.THROTTLE is asked in
+	ThrottleClass int // index of the class of CL.THROTTLE calls
 	Clients       []Client
 
 	GRPC         *GRPC // the gRPC front, nil for none
 	Rules        Rules
 	Front        FrontLimits
 	Backend      Backend
-	DrainTimeout time.Duration // after SIGTERM, for what is in flight
+	DrainTimeout time.Duration // how long requests in flight may take to finish after SIGTERM
 }
 
 // Instance is one gateway of the fleet.
@@ -55,83 +58,83 @@
 	PeerAddress string // UDP address for messages between instances
 }
 
-// Discovery is where the list of boxes is pushed from.
+// Discovery describes where lists of servers come from.
 type Discovery struct {
 	Servers   []string // host:port of EDS servers, in order of preference
 	Cluster   string
-	CachePath string // path of the last list on disk, "" to keep none
+	CachePath string // path of the file that keeps the last list, "" to keep none
 }
 
 // Command maps a command of clients to a class.
 type Command struct {
 	Name       string // in upper case
 	Class      int
-	Arity      int // words with the name; below 0: at least so many
-	Units      int // units that one counts, where UnitsAt is 0
-	UnitsIndex int // the word that holds the units, 0: none
-	KeyIndex   int // the word that holds the submission key, 0: none
+	Arity      int // number of words with the name; a negative one is a minimum
+	Units      int // units of one request, used if UnitsIndex is 0
+	UnitsIndex int // index of the word with the units, 0: none
+	KeyIndex   int // index of the word with the submission key, 0: none
 }
 
-// Client is a customer that may come in.
+// Client is a customer that may log in.
 type Client struct {
 	Name       string
 	Plan       int
-	SecretHash [sha256.Size]byte // hash of the secret
+	SecretHash [sha256.Size]byte
 }
 
-// Rules are the figures of the five rules, in seconds where they are times.
+// Rules holds the thresholds of the five rules that the fleet keeps; times are in seconds.
 type Rules struct {
 	AnswerSlackS, ColdStartShare, ColdPeriodS, OverloadMultiple, OverloadWindowS float64
 }
 
-// FrontLimits bounds what clients may take up.
+// FrontLimits limits the resources that clients of the RESP front may use.
 type FrontLimits struct {
-	MaxConnections   int           // open at once
-	MaxArgumentBytes int           // bytes of one argument
-	MaxPipelined     int           // commands of one connection under way
-	MaxUnreadBytes   int           // bytes that a client leaves unread
-	MaxInputBytes    int           // bytes of unfinished commands that all connections hold beyond 16 kB each
-	PartialTimeout   time.Duration // for a command to come in whole, and to authenticate
+	MaxConnections   int           // open connections
+	MaxArgumentBytes int           // size of one argument
+	MaxPipelined     int           // commands of one connection in progress
+	MaxUnreadBytes   int           // output that a client has not read
+	MaxInputBytes    int           // unfinished commands of all connections together, beyond 16 kB each
+	PartialTimeout   time.Duration // to receive a command completely, and to authenticate
 }
 
-// GRPC is the gRPC front.
+// GRPC holds the settings of the gRPC front.
 type GRPC struct {
 	Listen                                 string
-	CertificateFile, KeyFile, ClientCAFile string // PEM files: TLS, and mutual TLS where CAs stands; "" for none
-	MaxConnections                         int    // open at once; one more is closed
+	CertificateFile, KeyFile, ClientCAFile string // PEM files for TLS; ClientCAFile adds mutual TLS; "" for none
+	MaxConnections                         int    // open connections; further ones are closed
 	MaxStreams                             int    // calls and streams open on one connection
-	MaxStreamRequests                      int    // requests under way on one Stream
-	MaxMessageBytes                        int    // bytes of one message
+	MaxStreamRequests                      int    // requests in progress on one Stream
+	MaxMessageBytes                        int    // size of one message
 	Domains                                []Domain
 }
 
 // Domain maps the descriptors of callers such as Envoy to customers.
 type Domain struct {
 	Name           string
-	SecretHash     [sha256.Size]byte // hash of what its callers present
-	Descriptors    []Descriptor      // the first that matches counts
-	AllowUnmatched bool              // what an unmatched descriptor is answered
+	SecretHash     [sha256.Size]byte // hash of the secret that callers present
+	Descriptors    []Descriptor      // the first match applies
+	AllowUnmatched bool              // whether a descriptor without a match is allowed
 }
 
-// Descriptor matches one that holds all Entries and a known customer.
+// Descriptor matches a request's descriptor that holds all Entries and a known customer.
 type Descriptor struct {
 	Entries     [][2]string // key and value; "" for any value
 	CustomerKey string      // the key whose value is the customer
 	Class       int
-	Units       int // that one hit counts
+	Units       int // units of one hit
 }
 
-// Backend is how boxes are reached.
+// Backend says how servers are reached.
 type Backend struct {
-	MaxConnections   int           // to one box at once
-	MaxPipelined     int           // attempts on one of them at once
-	ConnectTimeout   time.Duration // until a connection stands
-	LoadSource       string        // "probe", "answer" or "none"
-	MaxAttempts      int           // of one request at most
-	ParallelAttempts bool          // two of them at once, where the class allows it
+	MaxConnections   int           // connections to one server
+	MaxPipelined     int           // attempts in flight on one connection
+	ConnectTimeout   time.Duration // for a connection to be established
+	LoadSource       string        // where load reports come from: "probe", "answer" or "none"
+	MaxAttempts      int           // attempts of one request
+	ParallelAttempts bool          // whether a request may have two attempts in flight, where its class allows it
 }
 
-// Load reads and checks a file. The error names file, line and field.
+// Load reads and validates a settings file. The error names file, line and field.
 func Load(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -140,229 +143,245 @@
 	return Parse(path, string(text))
 }
 
-// Parse is Load for a text; path is used in errors.
+// Parse does the same as Load for a text; path is used in errors.
 func Parse(path, text string) (*Config, error) {
-	f, err := sexp.Parse(path, text)
+	file, err := sexp.Parse(path, text)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	c := &Config{DrainTimeout: 10 * time.Second, ThrottleClass: -1,
+	cfg := &Config{DrainTimeout: 10 * time.Second, ThrottleClass: -1,
 		Rules: Rules{AnswerSlackS: 0.01, ColdStartShare: 0.2, ColdPeriodS: 15, OverloadMultiple: 2, OverloadWindowS: 1.5},
-		Front: FrontLimits{MaxConnections: 20000, MaxArgumentBytes: 512 << 10, MaxPipelined: 4096, MaxUnreadBytes: 4 << 20, MaxInputBytes: 64 << 20,
-			PartialTimeout: 10 * time.Second},
-		Backend: Backend{MaxConnections: 16, MaxPipelined: 8, ConnectTimeout: 250 * time.Millisecond, LoadSource: "probe", MaxAttempts: 3,
-			ParallelAttempts: true},
+		Front: FrontLimits{MaxConnections: 20000, MaxArgumentBytes: 512 << 10, MaxPipelined: 4096,
+			MaxUnreadBytes: 4 << 20, MaxInputBytes: 64 << 20, PartialTimeout: 10 * time.Second},
+		Backend: Backend{MaxConnections: 16, MaxPipelined: 8, ConnectTimeout: 250 * time.Millisecond,
+			LoadSource: "probe", MaxAttempts: 3, ParallelAttempts: true},
 	}
-	r := &sexp.Reader{}
-	c.read(r, f)
-	if r.Err != nil {
-		return nil, fmt.Errorf("settings: %w", r.Err)
+	reader := &sexp.Reader{}
+	cfg.read(reader, file)
+	if reader.Err != nil {
+		return nil, fmt.Errorf("settings: %w", reader.Err)
 	}
-	return c, nil
+	return cfg, nil
 }
 
-// read takes in the file: what other parts refer to by name comes first, wherever it stands.
-func (cfg *Config) read(r *sexp.Reader, f *sexp.File) {
+// read reads the sections in order of their dependencies, whatever their order in the file: sections that others
+// refer to by name come first.
+func (cfg *Config) read(reader *sexp.Reader, file *sexp.File) {
 	order := []string{"ingress", "instances", "classes", "plans", "rules", "front", "backend", "boxes", "discovery",
 		"commands", "clients", "grpc"}
 	top := &sexp.Node{}
-	if len(f.Forms) > 0 {
-		top = f.Forms[0]
+	if len(file.Forms) > 0 {
+		top = file.Forms[0]
 	}
 	var known []sexp.Field
 	found := map[string]*sexp.Node{}
 	for _, name := range order {
 		known = append(known, sexp.Field{Name: name, Required: name == "ingress" || name == "classes" || name == "plans",
-			Read: func(_ *sexp.Reader, n *sexp.Node) { found[name] = n }})
+			Read: func(_ *sexp.Reader, node *sexp.Node) { found[name] = node }})
 	}
-	r.Fields(top, "file", f.Forms, known)
+	reader.Fields(top, "file", file.Forms, known)
 	for _, name := range order {
-		if n := found[name]; n != nil && r.Err == nil {
-			cfg.section(r, name, n)
+		if node := found[name]; node != nil && reader.Err == nil {
+			cfg.readSection(reader, name, node)
 		}
 	}
-	if r.Err == nil {
-		cfg.whole(r, found)
+	if reader.Err == nil {
+		cfg.checkConsistency(reader, found)
 	}
 }
 
-func (cfg *Config) section(r *sexp.Reader, name string, n *sexp.Node) {
+// readSection reads the fields of one section.
+func (cfg *Config) readSection(reader *sexp.Reader, name string, node *sexp.Node) {
 	switch name {
 	case "ingress":
-		r.Fields(n, name, n.Args(), []sexp.Field{
-			sexp.IntField("me", true, &cfg.Self, 0, 1023), sexp.TextField("zone", true, &cfg.Zone), addressField("listen", true, &cfg.Listen),
-			sexp.IntField("loops", false, &cfg.EventLoops, 1, 64), sexp.TimeField("drain", false, &cfg.DrainTimeout, 0, 5*time.Minute)})
+		reader.Fields(node, name, node.Args(), []sexp.Field{
+			sexp.IntField("me", true, &cfg.Self, 0, 1023), sexp.TextField("zone", true, &cfg.Zone),
+			addressField("listen", true, &cfg.Listen),
+			sexp.IntField("loops", false, &cfg.EventLoops, 1, 64),
+			sexp.TimeField("drain", false, &cfg.DrainTimeout, 0, 5*time.Minute)})
 	case "instances":
-		r.Fields(n, name, n.Args(), []sexp.Field{{Name: "instance", Required: true, Many: true, Read: cfg.instance}, {Name: "key", Read: cfg.peerKey}})
+		reader.Fields(node, name, node.Args(), []sexp.Field{{Name: "instance", Required: true, Many: true,
+			Read: cfg.readInstance}, {Name: "key", Read: cfg.readPeerKey}})
 	case "classes":
-		r.Fields(n, name, n.Args(), []sexp.Field{{Name: "class", Required: true, Many: true, Read: cfg.class}})
+		reader.Fields(node, name, node.Args(), []sexp.Field{{Name: "class", Required: true, Many: true, Read: cfg.readClass}})
 	case "plans":
-		r.Fields(n, name, n.Args(), []sexp.Field{{Name: "plan", Required: true, Many: true, Read: cfg.plan}})
+		reader.Fields(node, name, node.Args(), []sexp.Field{{Name: "plan", Required: true, Many: true, Read: cfg.readPlan}})
 	case "rules":
-		r.Fields(n, name, n.Args(), []sexp.Field{
+		reader.Fields(node, name, node.Args(), []sexp.Field{
 			sexp.SecondsField("answer-slack", false, &cfg.Rules.AnswerSlackS, 0, time.Second),
-			sexp.NumField("cold-from", false, &cfg.Rules.ColdStartShare, 0, 1), sexp.SecondsField("cold", false, &cfg.Rules.ColdPeriodS, 0, time.Hour),
+			sexp.NumField("cold-from", false, &cfg.Rules.ColdStartShare, 0, 1),
+			sexp.SecondsField("cold", false, &cfg.Rules.ColdPeriodS, 0, time.Hour),
 			sexp.NumField("fall-multiple", false, &cfg.Rules.OverloadMultiple, 1, 100),
 			sexp.SecondsField("fall", false, &cfg.Rules.OverloadWindowS, 0, time.Minute)})
 	case "front":
-		r.Fields(n, name, n.Args(), []sexp.Field{
-			sexp.IntField("connections", false, &cfg.Front.MaxConnections, 1, 1<<20), sexp.IntField("bulk", false, &cfg.Front.MaxArgumentBytes, 64, 64<<20),
-			sexp.IntField("pipeline", false, &cfg.Front.MaxPipelined, 1, 1<<16), sexp.IntField("output", false, &cfg.Front.MaxUnreadBytes, 1<<10, 1<<30),
+		reader.Fields(node, name, node.Args(), []sexp.Field{
+			sexp.IntField("connections", false, &cfg.Front.MaxConnections, 1, 1<<20),
+			sexp.IntField("bulk", false, &cfg.Front.MaxArgumentBytes, 64, 64<<20),
+			sexp.IntField("pipeline", false, &cfg.Front.MaxPipelined, 1, 1<<16),
+			sexp.IntField("output", false, &cfg.Front.MaxUnreadBytes, 1<<10, 1<<30),
 			sexp.IntField("input", false, &cfg.Front.MaxInputBytes, 1<<20, 1<<34),
 			sexp.TimeField("partial", false, &cfg.Front.PartialTimeout, 100*time.Millisecond, time.Hour)})
 	case "backend":
 		loads := []string{"probe", "answer", "none"}
 		yes := 1
-		r.Fields(n, name, n.Args(), []sexp.Field{
-			sexp.IntField("connections", false, &cfg.Backend.MaxConnections, 1, 1024), sexp.IntField("pipeline", false, &cfg.Backend.MaxPipelined, 1, 1024),
+		reader.Fields(node, name, node.Args(), []sexp.Field{
+			sexp.IntField("connections", false, &cfg.Backend.MaxConnections, 1, 1024),
+			sexp.IntField("pipeline", false, &cfg.Backend.MaxPipelined, 1, 1024),
 			sexp.TimeField("connect", false, &cfg.Backend.ConnectTimeout, time.Millisecond, time.Minute),
 			sexp.ChoiceField("load", false, &cfg.Backend.LoadSource, loads, loads),
 			sexp.IntField("attempts", false, &cfg.Backend.MaxAttempts, 1, 16),
 			sexp.ChoiceField("parallel", false, &yes, []string{"yes", "no"}, []int{1, 0})})
 		cfg.Backend.ParallelAttempts = yes == 1
 	case "grpc":
-		cfg.grpc(r, n)
+		cfg.readGRPC(reader, node)
 	case "boxes":
-		r.Fields(n, name, n.Args(), []sexp.Field{{Name: "box", Required: true, Many: true, Read: cfg.box}})
+		reader.Fields(node, name, node.Args(), []sexp.Field{{Name: "box", Required: true, Many: true, Read: cfg.readServer}})
 	case "discovery":
-		d := &Discovery{}
-		r.Fields(n, name, n.Args(), []sexp.Field{{Name: "server", Required: true, Many: true, Read: func(r *sexp.Reader, n *sexp.Node) {
-			d.Servers = append(d.Servers, address(r, r.One(n, "ADDRESS"), "server"))
-		}}, sexp.TextField("cluster", true, &d.Cluster), sexp.TextField("keep", false, &d.CachePath)})
-		cfg.Discovery = d
+		discovery := &Discovery{}
+		reader.Fields(node, name, node.Args(), []sexp.Field{{Name: "server", Required: true, Many: true,
+			Read: func(reader *sexp.Reader, node *sexp.Node) {
+				discovery.Servers = append(discovery.Servers, readAddress(reader, reader.One(node, "ADDRESS"), "server"))
+			}}, sexp.TextField("cluster", true, &discovery.Cluster), sexp.TextField("keep", false, &discovery.CachePath)})
+		cfg.Discovery = discovery
 	case "commands":
-		r.Fields(n, name, n.Args(), []sexp.Field{{Name: "command", Many: true, Read: cfg.command}, {Name: "throttle", Read: func(r *sexp.Reader, n *sexp.Node) {
-			r.Fields(n, "throttle", n.Args(), []sexp.Field{{Name: "class", Required: true, Read: func(r *sexp.Reader, n *sexp.Node) {
-				cfg.ThrottleClass = cfg.classOf(r, r.One(n, "CLASS"))
+		reader.Fields(node, name, node.Args(), []sexp.Field{{Name: "command", Many: true, Read: cfg.readCommand},
+			{Name: "throttle", Read: func(reader *sexp.Reader, node *sexp.Node) {
+				reader.Fields(node, "throttle", node.Args(), []sexp.Field{{Name: "class", Required: true,
+					Read: func(reader *sexp.Reader, node *sexp.Node) {
+						cfg.ThrottleClass = cfg.classIndex(reader, reader.One(node, "CLASS"))
+					}}})
 			}}})
-		}}})
 	case "clients":
-		r.Fields(n, name, n.Args(), []sexp.Field{{Name: "client", Required: true, Many: true, Read: cfg.client()}})
+		reader.Fields(node, name, node.Args(), []sexp.Field{{Name: "client", Required: true, Many: true, Read: cfg.clientReader()}})
 	}
 }
 
-func address(r *sexp.Reader, n *sexp.Node, field string) string {
-	a := r.Name(n, field)
-	if host, port, err := net.SplitHostPort(a); err != nil || port == "" || host == "" {
-		r.Fail(n, field, "%s is no address, want host:port, as \"127.0.0.1:7379\"", n)
+// readAddress reads an address of the form host:port.
+func readAddress(reader *sexp.Reader, node *sexp.Node, field string) string {
+	address := reader.Name(node, field)
+	if host, port, err := net.SplitHostPort(address); err != nil || port == "" || host == "" {
+		reader.Fail(node, field, "%s is no address, want host:port, as \"127.0.0.1:7379\"", node)
 	}
-	return a
+	return address
 }
 
 func addressField(name string, required bool, to *string) sexp.Field {
 	return sexp.Field{Name: name, Required: required,
-		Read: func(r *sexp.Reader, n *sexp.Node) { *to = address(r, r.One(n, "ADDRESS"), name) }}
+		Read: func(r *sexp.Reader, n *sexp.Node) { *to = readAddress(r, r.One(n, "ADDRESS"), name) }}
 }
 
-func (cfg *Config) instance(r *sexp.Reader, n *sexp.Node) {
-	a := n.Args()
-	if len(a) != 2 {
-		r.Fail(n, "instance", "holds %d values, want (instance NUMBER PEER-ADDRESS)", len(a))
+func (cfg *Config) readInstance(reader *sexp.Reader, node *sexp.Node) {
+	args := node.Args()
+	if len(args) != 2 {
+		reader.Fail(node, "instance", "holds %d values, want (instance NUMBER PEER-ADDRESS)", len(args))
 		return
 	}
-	i := Instance{r.Whole(a[0], "instance", 0, 1023), address(r, a[1], "instance")}
-	if i.Number != len(cfg.Instances) {
-		r.Fail(a[0], "instance", "number %d, want %d: instances are numbered from 0, in order", i.Number, len(cfg.Instances))
+	instance := Instance{reader.Whole(args[0], "instance", 0, 1023), readAddress(reader, args[1], "instance")}
+	if instance.Number != len(cfg.Instances) {
+		reader.Fail(args[0], "instance", "number %d, want %d: instances are numbered from 0, in order",
+			instance.Number, len(cfg.Instances))
 	}
-	cfg.Instances = append(cfg.Instances, i)
+	cfg.Instances = append(cfg.Instances, instance)
 }
 
-func (cfg *Config) peerKey(r *sexp.Reader, n *sexp.Node) {
-	a := r.One(n, "HEX")
-	key, err := hex.DecodeString(strings.TrimSpace(r.Name(a, "key")))
-	if r.Err == nil && (err != nil || len(key) != 32) {
-		r.Fail(a, "key", "want 64 hex digits, as `openssl rand -hex 32` prints them")
+func (cfg *Config) readPeerKey(reader *sexp.Reader, node *sexp.Node) {
+	arg := reader.One(node, "HEX")
+	key, err := hex.DecodeString(strings.TrimSpace(reader.Name(arg, "key")))
+	if reader.Err == nil && (err != nil || len(key) != 32) {
+		reader.Fail(arg, "key", "want 64 hex digits, as `openssl rand -hex 32` prints them")
 	}
 	cfg.PeerKey = key
 }
 
-func (cfg *Config) class(r *sexp.Reader, n *sexp.Node) {
-	k := policy.Class{Worth: 1}
-	name, rest := r.Named(n)
-	k.Name = name
-	r.Fields(n, "class "+name, rest, []sexp.Field{
-		sexp.SecondsField("aim", true, &k.AimS, time.Millisecond, time.Hour),
-		sexp.SecondsField("deadline", true, &k.DeadlineS, time.Millisecond, time.Hour),
-		sexp.NumField("worth", false, &k.Worth, 0, 1e6), sexp.NumField("late-worth", false, &k.LateWorth, 0, 1),
-		sexp.ChoiceField("effect", true, &k.Effect, []string{"safe", "keyed", "unsafe"},
+func (cfg *Config) readClass(reader *sexp.Reader, node *sexp.Node) {
+	class := policy.Class{Worth: 1}
+	name, rest := reader.Named(node)
+	class.Name = name
+	reader.Fields(node, "class "+name, rest, []sexp.Field{
+		sexp.SecondsField("aim", true, &class.AimS, time.Millisecond, time.Hour),
+		sexp.SecondsField("deadline", true, &class.DeadlineS, time.Millisecond, time.Hour),
+		sexp.NumField("worth", false, &class.Worth, 0, 1e6), sexp.NumField("late-worth", false, &class.LateWorth, 0, 1),
+		sexp.ChoiceField("effect", true, &class.Effect, []string{"safe", "keyed", "unsafe"},
 			[]policy.Effect{policy.Safe, policy.Keyed, policy.Unsafe}),
-		sexp.ChoiceField("key-scope", false, &k.KeyScope, []string{"all", "zone", "cell"},
+		sexp.ChoiceField("key-scope", false, &class.KeyScope, []string{"all", "zone", "cell"},
 			[]policy.Scope{policy.ScopeAll, policy.ScopeZone, policy.ScopeCell}),
-		sexp.SecondsField("key-ttl", false, &k.KeyTTLS, 0, time.Hour)})
-	if k.AimS > k.DeadlineS {
-		r.Fail(n, "class "+name+" aim", "is after the deadline, want it no later")
+		sexp.SecondsField("key-ttl", false, &class.KeyTTLS, 0, time.Hour)})
+	if class.AimS > class.DeadlineS {
+		reader.Fail(node, "class "+name+" aim", "is after the deadline, want it no later")
 	}
-	if (k.Effect == policy.Keyed) != (k.KeyTTLS > 0) {
-		r.Fail(n, "class "+name+" key-ttl", "goes with (effect keyed), want both or neither")
+	if (class.Effect == policy.Keyed) != (class.KeyTTLS > 0) {
+		reader.Fail(node, "class "+name+" key-ttl", "goes with (effect keyed), want both or neither")
 	}
-	for _, o := range cfg.Classes {
-		if o.Name == name {
-			r.Fail(n, "class "+name, "given twice, want one class a name")
+	for _, other := range cfg.Classes {
+		if other.Name == name {
+			reader.Fail(node, "class "+name, "given twice, want one class a name")
 		}
 	}
-	cfg.Classes = append(cfg.Classes, k)
+	cfg.Classes = append(cfg.Classes, class)
 }
 
-func (cfg *Config) plan(r *sexp.Reader, n *sexp.Node) {
-	p := policy.Plan{Price: 1, ExcessCost: 1}
-	name, rest := r.Named(n)
-	p.Name = name
+func (cfg *Config) readPlan(reader *sexp.Reader, node *sexp.Node) {
+	plan := policy.Plan{Price: 1, ExcessCost: 1}
+	name, rest := reader.Named(node)
+	plan.Name = name
 	where := "plan " + name
-	r.Fields(n, where, rest, []sexp.Field{
-		sexp.NumField("rate", false, &p.Rate, 0.001, mostRate), sexp.NumField("burst", false, &p.Burst, 1, mostBurst),
-		sexp.IntField("parallel", false, &p.Parallel, 1, 65000), sexp.NumField("price", false, &p.Price, 0, 1e6),
-		sexp.NumField("excess-cost", false, &p.ExcessCost, 0, 100), sexp.NumField("extra-worth", false, &p.ExtraWorth, 0, 1),
-		{Name: "ceiling", Read: func(r *sexp.Reader, n *sexp.Node) {
-			r.Fields(n, where+" ceiling", n.Args(), []sexp.Field{sexp.NumField("rate", true, &p.CeilingRate, 0.001, mostRate),
-				sexp.NumField("burst", true, &p.CeilingBurst, 1, mostBurst), sexp.NumField("slack", false, &p.CeilingSlack, 0, mostBurst)})
+	reader.Fields(node, where, rest, []sexp.Field{
+		sexp.NumField("rate", false, &plan.Rate, 0.001, maxRate), sexp.NumField("burst", false, &plan.Burst, 1, maxBurst),
+		sexp.IntField("parallel", false, &plan.Parallel, 1, 65000), sexp.NumField("price", false, &plan.Price, 0, 1e6),
+		sexp.NumField("excess-cost", false, &plan.ExcessCost, 0, 100), sexp.NumField("extra-worth", false, &plan.ExtraWorth, 0, 1),
+		{Name: "ceiling", Read: func(reader *sexp.Reader, node *sexp.Node) {
+			reader.Fields(node, where+" ceiling", node.Args(), []sexp.Field{sexp.NumField("rate", true, &plan.CeilingRate, 0.001, maxRate),
+				sexp.NumField("burst", true, &plan.CeilingBurst, 1, maxBurst),
+				sexp.NumField("slack", false, &plan.CeilingSlack, 0, maxBurst)})
 		}}})
-	if p.Rate > 0 && p.Burst == 0 || p.Rate == 0 && p.Burst > 0 {
-		r.Fail(n, where, "want (rate ..) and (burst ..) together, or neither")
+	if plan.Rate > 0 && plan.Burst == 0 || plan.Rate == 0 && plan.Burst > 0 {
+		reader.Fail(node, where, "want (rate ..) and (burst ..) together, or neither")
 	}
-	if p.CeilingRate > 0 && p.CeilingRate < p.Rate {
-		r.Fail(n, where+" ceiling", "rate %g is below the plan's %g, want it no less", p.CeilingRate, p.Rate)
+	if plan.CeilingRate > 0 && plan.CeilingRate < plan.Rate {
+		reader.Fail(node, where+" ceiling", "rate %g is below the plan's %g, want it no less", plan.CeilingRate, plan.Rate)
 	}
-	if len(cfg.Plans) == mostPlans {
-		r.Fail(n, where, "is one too many, want %d plans at most", mostPlans)
+	if len(cfg.Plans) == maxPlans {
+		reader.Fail(node, where, "is one too many, want %d plans at most", maxPlans)
 	}
-	for _, o := range cfg.Plans {
-		if o.Name == name {
-			r.Fail(n, where, "given twice, want one plan a name")
+	for _, other := range cfg.Plans {
+		if other.Name == name {
+			reader.Fail(node, where, "given twice, want one plan a name")
 		}
 	}
-	cfg.Plans = append(cfg.Plans, p)
+	cfg.Plans = append(cfg.Plans, plan)
 }
 
-func (cfg *Config) box(r *sexp.Reader, n *sexp.Node) {
-	s := policy.Server{Weight: 1}
-	if len(n.Args()) == 0 {
-		r.Fail(n, "box", "holds nothing, want (box ADDRESS (zone NAME) ..)")
+func (cfg *Config) readServer(reader *sexp.Reader, node *sexp.Node) {
+	server := policy.Server{Weight: 1}
+	if len(node.Args()) == 0 {
+		reader.Fail(node, "box", "holds nothing, want (box ADDRESS (zone NAME) ..)")
 		return
 	}
-	s.ID = address(r, n.Args()[0], "box")
-	where := "box " + s.ID
-	r.Fields(n, where, n.Args()[1:], []sexp.Field{sexp.TextField("zone", true, &s.Zone), sexp.IntField("cell", false, &s.Cell, 0, 1<<20),
-		sexp.NumField("weight", false, &s.Weight, 0.001, 1e6),
-		sexp.ChoiceField("state", false, &s.State, []string{"up", "draining"}, []policy.State{policy.Up, policy.Draining})})
-	for _, o := range cfg.Servers {
-		if o.ID == s.ID {
-			r.Fail(n, where, "given twice, want each address once")
+	server.ID = readAddress(reader, node.Args()[0], "box")
+	where := "box " + server.ID
+	reader.Fields(node, where, node.Args()[1:], []sexp.Field{sexp.TextField("zone", true, &server.Zone),
+		sexp.IntField("cell", false, &server.Cell, 0, 1<<20),
+		sexp.NumField("weight", false, &server.Weight, 0.001, 1e6),
+		sexp.ChoiceField("state", false, &server.State, []string{"up", "draining"}, []policy.State{policy.Up, policy.Draining})})
+	for _, other := range cfg.Servers {
+		if other.ID == server.ID {
+			reader.Fail(node, where, "given twice, want each address once")
 		}
 	}
-	cfg.Servers = append(cfg.Servers, s)
+	cfg.Servers = append(cfg.Servers, server)
 }
 
-func (cfg *Config) classOf(r *sexp.Reader, n *sexp.Node) int {
-	return index(r, n, "class", cfg.Classes, func(k policy.Class) string { return k.Name })
+func (cfg *Config) classIndex(reader *sexp.Reader, node *sexp.Node) int {
+	return indexByName(reader, node, "class", cfg.Classes, func(k policy.Class) string { return k.Name })
 }
 
-func (cfg *Config) planOf(r *sexp.Reader, n *sexp.Node) int {
-	return index(r, n, "plan", cfg.Plans, func(p policy.Plan) string { return p.Name })
+func (cfg *Config) planIndex(reader *sexp.Reader, node *sexp.Node) int {
+	return indexByName(reader, node, "plan", cfg.Plans, func(p policy.Plan) string { return p.Name })
 }
 
-// index finds what a name refers to among things that were read before.
-func index[T any](r *sexp.Reader, n *sexp.Node, field string, list []T, nameOf func(T) string) int {
-	name := r.Name(n, field)
+// indexByName returns the index of the item that a name refers to among the items read before.
+func indexByName[T any](reader *sexp.Reader, node *sexp.Node, field string, list []T, nameOf func(T) string) int {
+	name := reader.Name(node, field)
 	var names []string
 	for i, x := range list {
 		if nameOf(x) == name {
@@ -370,160 +389,164 @@
 		}
 		names = append(names, nameOf(x))
 	}
-	r.Fail(n, field, "%s is not known, want %s", n, strings.Join(names, " or "))
+	reader.Fail(node, field, "%s is not known, want %s", node, strings.Join(names, " or "))
 	return 0
 }
 
-func (cfg *Config) command(r *sexp.Reader, n *sexp.Node) {
-	k := Command{Units: 1, Class: -1}
-	name, rest := r.Named(n)
-	k.Name = strings.ToUpper(name)
+func (cfg *Config) readCommand(reader *sexp.Reader, node *sexp.Node) {
+	command := Command{Units: 1, Class: -1}
+	name, rest := reader.Named(node)
+	command.Name = strings.ToUpper(name)
 	where := "command " + name
-	r.Fields(n, where, rest, []sexp.Field{
-		{Name: "class", Required: true, Read: func(r *sexp.Reader, n *sexp.Node) { k.Class = cfg.classOf(r, r.One(n, "CLASS")) }},
-		sexp.IntField("arity", true, &k.Arity, -64, 64), sexp.IntField("units", false, &k.Units, 1, mostUnits),
-		sexp.IntField("units-at", false, &k.UnitsIndex, 1, 63), sexp.IntField("key-at", false, &k.KeyIndex, 1, 63)})
-	least := max(k.Arity, -k.Arity)
+	reader.Fields(node, where, rest, []sexp.Field{
+		{Name: "class", Required: true, Read: func(r *sexp.Reader, n *sexp.Node) { command.Class = cfg.classIndex(r, r.One(n, "CLASS")) }},
+		sexp.IntField("arity", true, &command.Arity, -64, 64), sexp.IntField("units", false, &command.Units, 1, maxUnits),
+		sexp.IntField("units-at", false, &command.UnitsIndex, 1, 63), sexp.IntField("key-at", false, &command.KeyIndex, 1, 63)})
+	minWords := max(command.Arity, -command.Arity)
 	switch {
-	case r.Err != nil:
-	case least == 0:
-		r.Fail(n, where+" arity", "is 0, want the number of words with the name, or less than 0 for at least so many")
-	case k.UnitsIndex >= least || k.KeyIndex >= least:
-		r.Fail(n, where, "units-at and key-at must name a word that always comes, want below %d", least)
-	case (cfg.Classes[k.Class].Effect == policy.Keyed) != (k.KeyIndex > 0):
-		r.Fail(n, where+" key-at", "goes with a class of (effect keyed), want both or neither")
-	}
-	for _, o := range cfg.Commands {
-		if o.Name == k.Name {
-			r.Fail(n, where, "given twice, want each name once")
+	case reader.Err != nil:
+	case minWords == 0:
+		reader.Fail(node, where+" arity", "is 0, want the number of words with the name, or less than 0 for at least so many")
+	case command.UnitsIndex >= minWords || command.KeyIndex >= minWords:
+		reader.Fail(node, where, "units-at and key-at must name a word that always comes, want below %d", minWords)
+	case (cfg.Classes[command.Class].Effect == policy.Keyed) != (command.KeyIndex > 0):
+		reader.Fail(node, where+" key-at", "goes with a class of (effect keyed), want both or neither")
+	}
+	for _, other := range cfg.Commands {
+		if other.Name == command.Name {
+			reader.Fail(node, where, "given twice, want each name once")
 		}
 	}
-	cfg.Commands = append(cfg.Commands, k)
+	cfg.Commands = append(cfg.Commands, command)
 }
 
-// client returns the reader of clients, which finds names that come twice.
-func (cfg *Config) client() func(r *sexp.Reader, n *sexp.Node) {
+// clientReader returns a function that reads one client and rejects duplicate names.
+func (cfg *Config) clientReader() func(reader *sexp.Reader, node *sexp.Node) {
 	seen := map[string]bool{}
-	return func(r *sexp.Reader, n *sexp.Node) {
-		k := Client{Plan: -1}
-		name, rest := r.Named(n)
-		k.Name = name
+	return func(reader *sexp.Reader, node *sexp.Node) {
+		client := Client{Plan: -1}
+		name, rest := reader.Named(node)
+		client.Name = name
 		where := "client " + name
-		r.Fields(n, where, rest, []sexp.Field{
-			{Name: "plan", Required: true, Read: func(r *sexp.Reader, n *sexp.Node) { k.Plan = cfg.planOf(r, r.One(n, "PLAN")) }},
-			{Name: "secret-sha256", Required: true, Read: func(r *sexp.Reader, n *sexp.Node) { k.SecretHash = secret(r, n) }}})
+		reader.Fields(node, where, rest, []sexp.Field{
+			{Name: "plan", Required: true, Read: func(r *sexp.Reader, n *sexp.Node) { client.Plan = cfg.planIndex(r, r.One(n, "PLAN")) }},
+			{Name: "secret-sha256", Required: true,
+				Read: func(r *sexp.Reader, n *sexp.Node) { client.SecretHash = readSecretHash(r, n) }}})
 		if seen[name] {
-			r.Fail(n, where, "given twice, want each name once")
+			reader.Fail(node, where, "given twice, want each name once")
 		}
 		if strings.ContainsAny(name, " \t\r\n") {
-			r.Fail(n, where, "holds white space, want a name without")
+			reader.Fail(node, where, "holds white space, want a name without")
 		}
 		seen[name] = true
-		cfg.Clients = append(cfg.Clients, k)
+		cfg.Clients = append(cfg.Clients, client)
 	}
 }
 
-func (cfg *Config) grpc(r *sexp.Reader, n *sexp.Node) {
-	g := &GRPC{MaxConnections: 10000, MaxStreams: 1000, MaxStreamRequests: 256, MaxMessageBytes: 1 << 20}
-	r.Fields(n, "grpc", n.Args(), []sexp.Field{
-		addressField("listen", true, &g.Listen),
-		sexp.IntField("connections", false, &g.MaxConnections, 1, 1<<20),
-		sexp.IntField("streams", false, &g.MaxStreams, 1, 1<<20), sexp.IntField("ahead", false, &g.MaxStreamRequests, 1, 1<<16),
-		sexp.IntField("message", false, &g.MaxMessageBytes, 1<<10, 64<<20),
-		{Name: "tls", Read: func(r *sexp.Reader, n *sexp.Node) {
-			r.Fields(n, "grpc tls", n.Args(), []sexp.Field{sexp.TextField("certificate", true, &g.CertificateFile),
-				sexp.TextField("key", true, &g.KeyFile), sexp.TextField("clients", false, &g.ClientCAFile)})
+func (cfg *Config) readGRPC(reader *sexp.Reader, node *sexp.Node) {
+	grpc := &GRPC{MaxConnections: 10000, MaxStreams: 1000, MaxStreamRequests: 256, MaxMessageBytes: 1 << 20}
+	reader.Fields(node, "grpc", node.Args(), []sexp.Field{
+		addressField("listen", true, &grpc.Listen),
+		sexp.IntField("connections", false, &grpc.MaxConnections, 1, 1<<20),
+		sexp.IntField("streams", false, &grpc.MaxStreams, 1, 1<<20), sexp.IntField("ahead", false, &grpc.MaxStreamRequests, 1, 1<<16),
+		sexp.IntField("message", false, &grpc.MaxMessageBytes, 1<<10, 64<<20),
+		{Name: "tls", Read: func(reader *sexp.Reader, node *sexp.Node) {
+			reader.Fields(node, "grpc tls", node.Args(), []sexp.Field{sexp.TextField("certificate", true, &grpc.CertificateFile),
+				sexp.TextField("key", true, &grpc.KeyFile), sexp.TextField("clients", false, &grpc.ClientCAFile)})
 		}},
-		{Name: "domain", Many: true, Read: func(r *sexp.Reader, n *sexp.Node) {
-			d := Domain{}
-			name, rest := r.Named(n)
-			d.Name = name
+		{Name: "domain", Many: true, Read: func(reader *sexp.Reader, node *sexp.Node) {
+			domain := Domain{}
+			name, rest := reader.Named(node)
+			domain.Name = name
 			where := "domain " + name
-			for _, o := range g.Domains {
-				if o.Name == name {
-					r.Fail(n, where, "given twice, want each name once")
+			for _, other := range grpc.Domains {
+				if other.Name == name {
+					reader.Fail(node, where, "given twice, want each name once")
 				}
 			}
-			r.Fields(n, where, rest, []sexp.Field{
-				{Name: "secret-sha256", Required: true, Read: func(r *sexp.Reader, n *sexp.Node) { d.SecretHash = secret(r, n) }},
-				sexp.ChoiceField("unmatched", true, &d.AllowUnmatched, []string{"allow", "refuse"}, []bool{true, false}),
-				{Name: "descriptor", Required: true, Many: true, Read: func(r *sexp.Reader, n *sexp.Node) {
-					d.Descriptors = append(d.Descriptors, cfg.descriptor(r, n, where))
+			reader.Fields(node, where, rest, []sexp.Field{
+				{Name: "secret-sha256", Required: true,
+					Read: func(r *sexp.Reader, n *sexp.Node) { domain.SecretHash = readSecretHash(r, n) }},
+				sexp.ChoiceField("unmatched", true, &domain.AllowUnmatched, []string{"allow", "refuse"}, []bool{true, false}),
+				{Name: "descriptor", Required: true, Many: true, Read: func(reader *sexp.Reader, node *sexp.Node) {
+					domain.Descriptors = append(domain.Descriptors, cfg.readDescriptor(reader, node, where))
 				}}})
-			g.Domains = append(g.Domains, d)
+			grpc.Domains = append(grpc.Domains, domain)
 		}}})
-	cfg.GRPC = g
-}
-
-func (cfg *Config) descriptor(r *sexp.Reader, n *sexp.Node, where string) Descriptor {
-	d := Descriptor{Units: 1}
-	r.Fields(n, where+" descriptor", n.Args(), []sexp.Field{
-		sexp.TextField("customer", true, &d.CustomerKey), sexp.IntField("units", false, &d.Units, 1, mostUnits),
-		{Name: "class", Required: true, Read: func(r *sexp.Reader, n *sexp.Node) { d.Class = cfg.classOf(r, r.One(n, "CLASS")) }},
-		{Name: "entry", Many: true, Read: func(r *sexp.Reader, n *sexp.Node) {
-			a := n.Args()
-			if len(a) != 1 && len(a) != 2 {
-				r.Fail(n, "entry", "holds %d values, want (entry KEY) or (entry KEY VALUE)", len(a))
+	cfg.GRPC = grpc
+}
+
+func (cfg *Config) readDescriptor(reader *sexp.Reader, node *sexp.Node, where string) Descriptor {
+	descriptor := Descriptor{Units: 1}
+	reader.Fields(node, where+" descriptor", node.Args(), []sexp.Field{
+		sexp.TextField("customer", true, &descriptor.CustomerKey), sexp.IntField("units", false, &descriptor.Units, 1, maxUnits),
+		{Name: "class", Required: true, Read: func(r *sexp.Reader, n *sexp.Node) { descriptor.Class = cfg.classIndex(r, r.One(n, "CLASS")) }},
+		{Name: "entry", Many: true, Read: func(reader *sexp.Reader, node *sexp.Node) {
+			args := node.Args()
+			if len(args) != 1 && len(args) != 2 {
+				reader.Fail(node, "entry", "holds %d values, want (entry KEY) or (entry KEY VALUE)", len(args))
 				return
 			}
-			e := [2]string{r.Name(a[0], "entry")}
-			if len(a) == 2 {
-				e[1] = r.Name(a[1], "entry")
+			entry := [2]string{reader.Name(args[0], "entry")}
+			if len(args) == 2 {
+				entry[1] = reader.Name(args[1], "entry")
 			}
-			d.Entries = append(d.Entries, e)
+			descriptor.Entries = append(descriptor.Entries, entry)
 		}}})
-	return d
+	return descriptor
 }
 
-// secret reads the hash of a secret.
-func secret(r *sexp.Reader, n *sexp.Node) (to [sha256.Size]byte) {
-	a := r.One(n, "HEX")
-	sum, err := hex.DecodeString(r.Name(a, n.Head()))
-	if r.Err == nil && (err != nil || len(sum) != sha256.Size) {
-		r.Fail(a, n.Head(), "want 64 hex digits, as `cometpond secret` prints them")
+// readSecretHash reads the hash of a secret as hex digits.
+func readSecretHash(reader *sexp.Reader, node *sexp.Node) (to [sha256.Size]byte) {
+	arg := reader.One(node, "HEX")
+	sum, err := hex.DecodeString(reader.Name(arg, node.Head()))
+	if reader.Err == nil && (err != nil || len(sum) != sha256.Size) {
+		reader.Fail(arg, node.Head(), "want 64 hex digits, as `cometpond secret` prints them")
 	}
 	copy(to[:], sum)
 	return to
 }
 
-// whole checks what several sections say together.
-func (cfg *Config) whole(r *sexp.Reader, found map[string]*sexp.Node) {
-	n := found["ingress"]
+// checkConsistency validates conditions that concern several sections.
+func (cfg *Config) checkConsistency(reader *sexp.Reader, found map[string]*sexp.Node) {
+	ingress := found["ingress"]
 	if cfg.Servers == nil && cfg.Discovery == nil {
-		r.Fail(n, "file", "no boxes, want (boxes ..) or (discovery ..)")
+		reader.Fail(ingress, "file", "no boxes, want (boxes ..) or (discovery ..)")
 	}
 	if cfg.Servers != nil && cfg.Discovery != nil {
-		r.Fail(found["boxes"], "boxes", "stands beside (discovery ..), want one of them")
+		reader.Fail(found["boxes"], "boxes", "given together with (discovery ..), want one of them")
 	}
 	if len(cfg.Instances) == 0 && cfg.Self != 0 || len(cfg.Instances) > 0 && cfg.Self >= len(cfg.Instances) {
-		r.Fail(n, "ingress me", "is %d, want the number of one of the %d instances", cfg.Self, max(1, len(cfg.Instances)))
+		reader.Fail(ingress, "ingress me", "is %d, want the number of one of the %d instances", cfg.Self, max(1, len(cfg.Instances)))
 	}
 	if len(cfg.Instances) > 1 && cfg.PeerKey == nil {
-		r.Fail(found["instances"], "instances", "(key ..) is missing: several instances share one to seal their messages")
+		reader.Fail(found["instances"], "instances", "(key ..) is missing: several instances share one to seal their messages")
 	}
-	if cfg.ThrottleClass < 0 { // the class worth most: nobody's dearer work is kept from limits
+	if cfg.ThrottleClass < 0 {
+		// The default is the class of the highest value, so that a CL.THROTTLE call for high-value work is not refused as
+		// low-value work.
 		cfg.ThrottleClass = 0
-		for i, k := range cfg.Classes {
-			if k.Worth > cfg.Classes[cfg.ThrottleClass].Worth {
+		for i, class := range cfg.Classes {
+			if class.Worth > cfg.Classes[cfg.ThrottleClass].Worth {
 				cfg.ThrottleClass = i
 			}
 		}
 	}
 }
 
-// Settings are those of the decision module, for this instance.
+// Settings returns the settings of the policy module for this instance.
 func (cfg *Config) Settings() policy.Settings {
-	units := 1
-	for _, k := range cfg.Commands {
-		units = max(units, k.Units)
-		if k.UnitsIndex > 0 {
-			units = mostUnits
+	maxRequestUnits := 1
+	for _, command := range cfg.Commands {
+		maxRequestUnits = max(maxRequestUnits, command.Units)
+		if command.UnitsIndex > 0 {
+			maxRequestUnits = maxUnits
 		}
 	}
-	n := max(1, len(cfg.Instances))
+	gateways := max(1, len(cfg.Instances))
 	return policy.Settings{
-		Me: cfg.Self, Gateways: n, Zone: cfg.Zone, Classes: cfg.Classes, Plans: cfg.Plans, MaxUnits: units,
-		PeerIntake: 0, Peers: n > 1, Probes: true, Cancel: true, Parallel: cfg.Backend.ParallelAttempts, RetryAfter: true,
+		Me: cfg.Self, Gateways: gateways, Zone: cfg.Zone, Classes: cfg.Classes, Plans: cfg.Plans, MaxUnits: maxRequestUnits,
+		PeerIntake: 0, Peers: gateways > 1, Probes: true, Cancel: true, Parallel: cfg.Backend.ParallelAttempts, RetryAfter: true,
 		MaxAttempts: cfg.Backend.MaxAttempts, MaxRetryAfterS: 0.5,
 		ReportByProbe: cfg.Backend.LoadSource == "probe", ReportByAnswer: cfg.Backend.LoadSource == "answer",
 		AnswerSlackS: cfg.Rules.AnswerSlackS, ColdFrom: cfg.Rules.ColdStartShare, ColdS: cfg.Rules.ColdPeriodS,
@@ -531,8 +554,8 @@
 	}
 }
 
-// MaxUnits is the most units of one request (1 to it), as the messages between instances bear them.
-func (cfg *Config) MaxUnits() int { return mostUnits }
+// MaxUnits returns the maximum units of one request (the minimum is 1), as the messages between instances encode them.
+func (cfg *Config) MaxUnits() int { return maxUnits }
 
-// HashSecret is how a client's secret stands in the file.
+// HashSecret returns the hash of a secret that the settings file holds instead of the secret itself.
 func HashSecret(secret string) [sha256.Size]byte { return sha256.Sum256([]byte(secret)) }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,31 +10,32 @@
 
 const example = "../../examples/one.sexp"
 
-func TestExampleIsWhole(t *testing.T) {
-	c, err := Load(example)
+// The example file is valid and its values arrive in the fields of Config.
+func TestExampleIsValid(t *testing.T) {
+	cfg, err := Load(example)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Listen != "127.0.0.1:7379" || len(c.Servers) != 3 || len(c.Commands) != 3 || c.Clients[0].Name != "acme" ||
-		c.Clients[0].SecretHash != HashSecret("acme-secret") || c.Plans[0].Rate != 10 || c.Plans[0].Burst != 20 {
-		t.Fatalf("%+v", c)
+	if cfg.Listen != "127.0.0.1:7379" || len(cfg.Servers) != 3 || len(cfg.Commands) != 3 || cfg.Clients[0].Name != "acme" ||
+		cfg.Clients[0].SecretHash != HashSecret("acme-secret") || cfg.Plans[0].Rate != 10 || cfg.Plans[0].Burst != 20 {
+		t.Fatalf("%+v", cfg)
 	}
-	if k := c.Classes[2]; k.Effect != policy.Keyed || k.KeyScope != policy.ScopeZone || k.KeyTTLS != 7.5 {
-		t.Fatalf("%+v", k)
+	if class := cfg.Classes[2]; class.Effect != policy.Keyed || class.KeyScope != policy.ScopeZone || class.KeyTTLS != 7.5 {
+		t.Fatalf("%+v", class)
 	}
-	if s := c.Settings(); s.Gateways != 1 || s.Peers || s.MaxUnits != 1 || len(s.Classes) != 3 {
-		t.Fatalf("%+v", s)
+	if settings := cfg.Settings(); settings.Gateways != 1 || settings.Peers || settings.MaxUnits != 1 || len(settings.Classes) != 3 {
+		t.Fatalf("%+v", settings)
 	}
 }
 
-// Each mistake gets one error that names the line, the field and what would be right.
-func TestMistakes(t *testing.T) {
+// Each mistake in a file yields an error that names the line, the field and the expected value.
+func TestMistakesAreReported(t *testing.T) {
 	raw, err := os.ReadFile(example)
 	if err != nil {
 		t.Fatal(err)
 	}
 	text := string(raw)
-	for _, c := range []struct{ old, new, want string }{
+	for _, test := range []struct{ old, replacement, want string }{
 		{"(me 0)", "(me zero)", "one.sexp:6:7: me: zero is no number, want 0 to 1023"},
 		{"(me 0)", "(me 1)", "ingress me: is 1, want the number of one of the 1 instances"},
 		{"(me 0)", "(me 0.5)", "no whole number"},
@@ -58,37 +59,38 @@
 		{"(rules", "(rules\n  (", "unexpected"},
 		{"7402\"", "7401\"", "given twice, want each address once"},
 	} {
-		changed := strings.Replace(text, c.old, c.new, 1)
+		changed := strings.Replace(text, test.old, test.replacement, 1)
 		if changed == text {
-			t.Errorf("%q is not in the example", c.old)
+			t.Errorf("%q is not in the example", test.old)
 			continue
 		}
-		if _, err := Parse("one.sexp", changed); err == nil || !strings.Contains(err.Error(), c.want) ||
+		if _, err := Parse("one.sexp", changed); err == nil || !strings.Contains(err.Error(), test.want) ||
 			!strings.HasPrefix(err.Error(), "settings: one.sexp:") {
-			t.Errorf("%q for %q: %v; want %q", c.new, c.old, err, c.want)
+			t.Errorf("%q instead of %q: %v; want %q", test.replacement, test.old, err, test.want)
 		}
 	}
 	if _, err := Parse("empty.sexp", ""); err == nil || !strings.Contains(err.Error(), "missing") {
 		t.Errorf("empty file: %v", err)
 	}
 	if _, err := Load("no-such.sexp"); err == nil {
-		t.Error("a file that is not there")
+		t.Error("a missing file was loaded")
 	}
 }
 
+// Several instances need a shared key and numbers without a gap.
 func TestSeveralInstances(t *testing.T) {
 	raw, _ := os.ReadFile(example)
 	fleet := strings.Replace(string(raw), "(boxes", `(instances (instance 0 "127.0.0.1:1") (instance 1 "127.0.0.1:2") KEY)
 (boxes`, 1)
 	if _, err := Parse("f", strings.Replace(fleet, "KEY", "", 1)); err == nil || !strings.Contains(err.Error(), "(key ..) is missing") {
-		t.Errorf("no key: %v", err)
+		t.Errorf("missing key: %v", err)
 	}
-	c, err := Parse("f", strings.Replace(fleet, "KEY", `(key "`+strings.Repeat("ab", 32)+`")`, 1))
-	if err != nil || !c.Settings().Peers || c.Settings().Gateways != 2 || len(c.PeerKey) != 32 {
-		t.Errorf("%v %+v", err, c)
+	cfg, err := Parse("f", strings.Replace(fleet, "KEY", `(key "`+strings.Repeat("ab", 32)+`")`, 1))
+	if err != nil || !cfg.Settings().Peers || cfg.Settings().Gateways != 2 || len(cfg.PeerKey) != 32 {
+		t.Errorf("%v %+v", err, cfg)
 	}
 	if _, err := Parse("f", strings.Replace(fleet, "(instance 1", "(instance 2", 1)); err == nil ||
 		!strings.Contains(err.Error(), "numbered from 0") {
-		t.Errorf("gap in numbers: %v", err)
+		t.Errorf("gap in the instance numbers: %v", err)
 	}
 }
