--- a/internal/discovery/assignment.go
+++ b/internal/discovery/assignment.go
@@ -1,5 +1,5 @@
-// Package discovery learns the list of boxes from Envoy's endpoint discovery service (EDS v3, state of the
-// world over gRPC), hands each list on before it acknowledges it, and keeps the last one on disk.
+// Package discovery receives the list of servers from Envoy's endpoint discovery service (EDS v3, state of the
+// world over gRPC). It acknowledges a list once it is in force, and keeps the last one on disk for the next start.
 package discovery
 
 import (
@@ -17,106 +17,111 @@
 	"cometpond/policy"
 )
 
-// TypeURL is the resource type that is asked for.
+// TypeURL is the type of the requested resources.
 const TypeURL = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 
-// metadataKey is where an endpoint's metadata hold what EDS has no field for: cell, a small whole number
-// (boxes of a room and a cell share a memory of keys), and started, seconds since 1970.
+// metadataKey is the filter name under which an endpoint's metadata holds what EDS has no field for: cell, a small
+// whole number (servers of the same zone and cell share their store of keys), and started, seconds since 1970.
 const metadataKey = "cometpond"
 
-// ServersFromAssignment translates an assignment into the list of boxes. Boxes that are DRAINING, UNHEALTHY or TIMEOUT
-// get nothing new; DEGRADED and UNKNOWN ones are up. An error names the endpoint and what would be right.
-func ServersFromAssignment(a *endpointv3.ClusterLoadAssignment) ([]policy.Server, error) {
+// ServersFromAssignment converts an assignment into a list of servers. Endpoints that are DRAINING, UNHEALTHY or
+// TIMEOUT become draining servers, which get no new requests; DEGRADED and UNKNOWN ones are up. An error names the
+// endpoint and what is expected; it is sent to the discovery server as the reason of the refusal.
+func ServersFromAssignment(assignment *endpointv3.ClusterLoadAssignment) ([]policy.Server, error) {
 	var list []policy.Server
 	seen := map[string]bool{}
-	for _, group := range a.GetEndpoints() {
-		for _, e := range group.GetLbEndpoints() {
-			s, err := server(group.GetLocality().GetZone(), e)
+	for _, group := range assignment.GetEndpoints() {
+		for _, endpoint := range group.GetLbEndpoints() {
+			server, err := serverFromEndpoint(group.GetLocality().GetZone(), endpoint)
 			if err != nil {
 				return nil, err
 			}
-			if seen[s.ID] {
-				return nil, fmt.Errorf("endpoint %s: given twice, want each address once", s.ID)
+			if seen[server.ID] {
+				return nil, fmt.Errorf("endpoint %s: given twice, want each address once", server.ID)
 			}
-			seen[s.ID] = true
-			list = append(list, s)
+			seen[server.ID] = true
+			list = append(list, server)
 		}
 	}
 	return list, nil
 }
 
-func server(zone string, e *endpointv3.LbEndpoint) (policy.Server, error) {
-	a := e.GetEndpoint().GetAddress().GetSocketAddress()
-	if a == nil {
+// serverFromEndpoint converts one endpoint of a zone.
+func serverFromEndpoint(zone string, endpoint *endpointv3.LbEndpoint) (policy.Server, error) {
+	address := endpoint.GetEndpoint().GetAddress().GetSocketAddress()
+	if address == nil {
 		return policy.Server{}, errors.New("endpoint without a socket address, want address and port")
 	}
-	if a.GetPortValue() == 0 || a.GetPortValue() > 65535 || net.ParseIP(a.GetAddress()) == nil {
-		return policy.Server{}, fmt.Errorf("endpoint %s:%d: want an IP address and a port", a.GetAddress(), a.GetPortValue())
+	if address.GetPortValue() == 0 || address.GetPortValue() > 65535 || net.ParseIP(address.GetAddress()) == nil {
+		return policy.Server{}, fmt.Errorf("endpoint %s:%d: want an IP address and a port",
+			address.GetAddress(), address.GetPortValue())
 	}
-	s := policy.Server{ID: net.JoinHostPort(a.GetAddress(), strconv.Itoa(int(a.GetPortValue()))), Zone: zone, Weight: 1}
+	server := policy.Server{ID: net.JoinHostPort(address.GetAddress(), strconv.Itoa(int(address.GetPortValue()))),
+		Zone: zone, Weight: 1}
 	if zone == "" {
-		return s, fmt.Errorf("endpoint %s: its locality has no zone, want the room's name", s.ID)
+		return server, fmt.Errorf("endpoint %s: its locality has no zone, want the room's name", server.ID)
 	}
-	if w := e.GetLoadBalancingWeight(); w != nil {
-		s.Weight = float64(w.GetValue())
+	if weight := endpoint.GetLoadBalancingWeight(); weight != nil {
+		server.Weight = float64(weight.GetValue())
 	}
-	switch e.GetHealthStatus() {
+	switch endpoint.GetHealthStatus() {
 	case corev3.HealthStatus_DRAINING, corev3.HealthStatus_UNHEALTHY, corev3.HealthStatus_TIMEOUT:
-		s.State = policy.Draining
+		server.State = policy.Draining
 	}
-	for name, v := range e.GetMetadata().GetFilterMetadata()[metadataKey].GetFields() {
-		n, ok := v.GetKind().(*structpb.Value_NumberValue)
-		if !ok || n.NumberValue < 0 {
-			return s, fmt.Errorf("endpoint %s: metadata %s is no number of 0 or more", s.ID, name)
+	for name, value := range endpoint.GetMetadata().GetFilterMetadata()[metadataKey].GetFields() {
+		number, ok := value.GetKind().(*structpb.Value_NumberValue)
+		if !ok || number.NumberValue < 0 {
+			return server, fmt.Errorf("endpoint %s: metadata %s is no number of 0 or more", server.ID, name)
 		}
 		switch name {
 		case "cell":
-			s.Cell = int(n.NumberValue)
+			server.Cell = int(number.NumberValue)
 		case "started":
-			s.SinceS = n.NumberValue
+			server.SinceS = number.NumberValue
 		}
 	}
-	return s, nil
+	return server, nil
 }
 
-// NewAssignment is the reverse of Servers, for those who serve lists. Weights become whole numbers.
+// NewAssignment converts a list of servers into an assignment, for programs that serve lists. Weights are rounded to
+// whole numbers.
 func NewAssignment(cluster string, list []policy.Server) (*endpointv3.ClusterLoadAssignment, error) {
-	a := &endpointv3.ClusterLoadAssignment{ClusterName: cluster}
+	assignment := &endpointv3.ClusterLoadAssignment{ClusterName: cluster}
 	zones := map[string]*endpointv3.LocalityLbEndpoints{}
-	for _, s := range list {
-		if s.State == policy.Removed {
+	for _, server := range list {
+		if server.State == policy.Removed {
 			continue
 		}
-		host, port, err := net.SplitHostPort(s.ID)
+		host, port, err := net.SplitHostPort(server.ID)
 		if err != nil {
-			return nil, fmt.Errorf("box %s: %w", s.ID, err)
+			return nil, fmt.Errorf("server %s: %w", server.ID, err)
 		}
-		n, err := strconv.ParseUint(port, 10, 16)
+		portNumber, err := strconv.ParseUint(port, 10, 16)
 		if err != nil {
-			return nil, fmt.Errorf("box %s: %w", s.ID, err)
+			return nil, fmt.Errorf("server %s: %w", server.ID, err)
 		}
-		g := zones[s.Zone]
-		if g == nil {
-			g = &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: s.Zone}}
-			zones[s.Zone] = g
-			a.Endpoints = append(a.Endpoints, g)
+		group := zones[server.Zone]
+		if group == nil {
+			group = &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: server.Zone}}
+			zones[server.Zone] = group
+			assignment.Endpoints = append(assignment.Endpoints, group)
 		}
 		health := corev3.HealthStatus_HEALTHY
-		if s.State == policy.Draining {
+		if server.State == policy.Draining {
 			health = corev3.HealthStatus_DRAINING
 		}
-		meta, err := structpb.NewStruct(map[string]any{"cell": float64(s.Cell), "started": s.SinceS})
+		metadata, err := structpb.NewStruct(map[string]any{"cell": float64(server.Cell), "started": server.SinceS})
 		if err != nil {
-			return nil, fmt.Errorf("box %s: %w", s.ID, err)
+			return nil, fmt.Errorf("server %s: %w", server.ID, err)
 		}
-		g.LbEndpoints = append(g.LbEndpoints, &endpointv3.LbEndpoint{
+		group.LbEndpoints = append(group.LbEndpoints, &endpointv3.LbEndpoint{
 			HealthStatus:        health,
-			LoadBalancingWeight: wrapperspb.UInt32(uint32(max(1, math.Round(s.Weight)))),
-			Metadata:            &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{metadataKey: meta}},
+			LoadBalancingWeight: wrapperspb.UInt32(uint32(max(1, math.Round(server.Weight)))),
+			Metadata:            &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{metadataKey: metadata}},
 			HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: &endpointv3.Endpoint{
 				Address: &corev3.Address{Address: &corev3.Address_SocketAddress{SocketAddress: &corev3.SocketAddress{
-					Address: host, PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: uint32(n)}}}}}},
+					Address: host, PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: uint32(portNumber)}}}}}},
 		})
 	}
-	return a, nil
+	return assignment, nil
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -23,132 +23,137 @@
 	"cometpond/policy"
 )
 
-// Sink takes lists of boxes. The channel is closed once the list is in force; only then is it acknowledged.
+// Sink receives lists of servers. The channel that Servers returns is closed once the list is in force; only then is the
+// list acknowledged. whole says that the list replaces the previous one.
 type Sink interface {
 	Servers(list []policy.Server, whole bool) <-chan struct{}
 }
 
-// Client follows the list of boxes.
+// Client follows the list of servers.
 type Client struct {
-	cfg   config.Discovery
-	node  string
-	sink  Sink
-	log   zerolog.Logger
-	keep  *keeper // nil: no list is kept
-	state atomic.Pointer[Status]
+	cfg    config.Discovery
+	node   string
+	sink   Sink
+	log    zerolog.Logger
+	store  *listStore // nil: lists are not stored
+	status atomic.Pointer[Status]
 }
 
-// Status is what a Client last knew.
+// Status describes the connection and the list of a Client.
 type Status struct {
 	Connected     bool
 	Version       string
 	Servers       int
-	RejectedLists uint64 // lists refused since the start
+	RejectedLists uint64 // since the start of the process
 }
 
-// NewClient returns a client; node names this instance to the servers.
+// NewClient returns a client; node is the name of this instance in requests to discovery servers.
 func NewClient(cfg config.Discovery, node string, sink Sink, log zerolog.Logger) *Client {
-	c := &Client{cfg: cfg, node: node, sink: sink, log: log}
+	client := &Client{cfg: cfg, node: node, sink: sink, log: log}
 	if cfg.CachePath != "" {
-		c.keep = &keeper{file: &File{Path: cfg.CachePath}, log: log}
+		client.store = &listStore{file: &File{Path: cfg.CachePath}, log: log}
 	}
-	c.state.Store(&Status{})
-	return c
+	client.status.Store(&Status{})
+	return client
 }
 
-// Status tells how things stand.
-func (c *Client) Status() Status { return *c.state.Load() }
+// Status returns the current status.
+func (client *Client) Status() Status { return *client.status.Load() }
 
-func (c *Client) change(f func(*Status)) {
-	s := *c.state.Load()
-	f(&s)
-	c.state.Store(&s)
+// updateStatus replaces the status with a changed copy. Only the goroutine that calls Restore and Run may call it.
+func (client *Client) updateStatus(change func(*Status)) {
+	status := *client.status.Load()
+	change(&status)
+	client.status.Store(&status)
 }
 
-// restoreFor is how long a kept list that can't be read is tried again.
-const restoreFor = 2 * time.Second
+// restoreTimeout limits the retries to read the stored list.
+const restoreTimeout = 2 * time.Second
 
-// Restore puts the list kept on disk in force, if there is one, and tells how old it is.
-func (c *Client) Restore(ctx context.Context) error {
-	if c.keep == nil {
+// Restore puts the list stored on disk in force, if there is one, and logs its age.
+func (client *Client) Restore(ctx context.Context) error {
+	if client.store == nil {
 		return nil
 	}
-	if err := c.keep.file.Clean(); err != nil {
-		c.log.Warn().Err(err).Msg("half-written lists could not be removed")
+	if err := client.store.file.RemoveTemporary(); err != nil {
+		client.log.Warn().Err(err).Msg("could not remove temporary files of the stored list")
 	}
 	var version string
-	var at time.Time
-	var a *endpointv3.ClusterLoadAssignment
-	reading, cancel := context.WithTimeout(ctx, restoreFor)
+	var storedAt time.Time
+	var assignment *endpointv3.ClusterLoadAssignment
+	readContext, cancel := context.WithTimeout(ctx, restoreTimeout)
 	defer cancel()
-	err := syserr.Retry(reading, syserr.StorageRetryable, func() (err error) {
-		version, at, a, err = c.keep.file.Load()
+	err := syserr.Retry(readContext, syserr.StorageRetryable, func() (err error) {
+		version, storedAt, assignment, err = client.store.file.Load()
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	if a == nil {
+	if assignment == nil {
 		return nil
 	}
-	list, err := ServersFromAssignment(a)
+	list, err := ServersFromAssignment(assignment)
 	if err != nil {
-		return fmt.Errorf("list kept in %s: %w", c.cfg.CachePath, err)
+		return fmt.Errorf("list stored in %s: %w", client.cfg.CachePath, err)
 	}
-	c.log.Info().Str("version", version).Int("boxes", len(list)).Dur("age", time.Since(at)).Msg("start with the list kept on disk")
-	c.change(func(s *Status) { s.Version, s.Servers = version, len(list) })
-	return wait(ctx, c.sink.Servers(list, true))
+	client.log.Info().Str("version", version).Int("boxes", len(list)).Dur("age", time.Since(storedAt)).
+		Msg("starting with the list stored on disk")
+	client.updateStatus(func(status *Status) { status.Version, status.Servers = version, len(list) })
+	return waitInForce(ctx, client.sink.Servers(list, true))
 }
 
-func wait(ctx context.Context, taken <-chan struct{}) error {
+// waitInForce waits until a list is in force or ctx is done.
+func waitInForce(ctx context.Context, inForce <-chan struct{}) error {
 	select {
-	case <-taken:
+	case <-inForce:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// Backoff between attempts to reach a server: doubled after each failure, from least to most.
+// Delays between attempts to reach a server: doubled after each failure, from minBackoff to maxBackoff.
 const (
-	leastBackoff = 100 * time.Millisecond
-	mostBackoff  = 5 * time.Second
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 5 * time.Second
 )
 
-// Run follows the list until ctx is over, from the servers in turn.
-func (c *Client) Run(ctx context.Context) {
-	if c.keep != nil {
-		var keeping sync.WaitGroup
-		defer keeping.Wait()
-		keeping.Add(1)
+// Run follows the list until ctx is done. When a server fails it goes on to the next one of the configuration.
+func (client *Client) Run(ctx context.Context) {
+	if client.store != nil {
+		var storing sync.WaitGroup
+		defer storing.Wait()
+		storing.Add(1)
 		go func() {
-			defer keeping.Done()
-			c.keep.run(ctx)
+			defer storing.Done()
+			client.store.retryPending(ctx)
 		}()
 	}
-	pause := leastBackoff
+	pause := minBackoff
 	for i := 0; ctx.Err() == nil; i++ {
-		addr := c.cfg.Servers[i%len(c.cfg.Servers)]
-		heard, err := c.follow(ctx, addr)
-		c.change(func(s *Status) { s.Connected = false })
+		addr := client.cfg.Servers[i%len(client.cfg.Servers)]
+		received, err := client.follow(ctx, addr)
+		client.updateStatus(func(status *Status) { status.Connected = false })
 		if ctx.Err() != nil {
 			return
 		}
-		if heard {
-			pause = leastBackoff
+		if received {
+			pause = minBackoff
 		}
-		c.log.Warn().Str("server", addr).Err(err).Dur("again_in", pause).Msg("discovery lost; the last list stays in force")
+		client.log.Warn().Str("server", addr).Err(err).Dur("again_in", pause).
+			Msg("lost the discovery server; the last list stays in force")
 		select {
 		case <-time.After(pause):
 		case <-ctx.Done():
 			return
 		}
-		pause = min(2*pause, mostBackoff)
+		pause = min(2*pause, maxBackoff)
 	}
 }
 
-// follow keeps one stream; heard tells whether a list came over it.
-func (c *Client) follow(ctx context.Context, addr string) (heard bool, err error) {
+// follow serves one stream until it fails; received reports whether a list has come into force over it.
+func (client *Client) follow(ctx context.Context, addr string) (received bool, err error) {
 	conn, err := grpc.NewClient(addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: 10 * time.Second, Timeout: 3 * time.Second, PermitWithoutStream: true}))
 	if err != nil {
@@ -159,58 +164,60 @@
 	if err != nil {
 		return false, fmt.Errorf("discovery stream: %w", err)
 	}
-	req := &discoveryv3.DiscoveryRequest{Node: &corev3.Node{Id: c.node, Cluster: "cometpond"}, TypeUrl: TypeURL,
-		ResourceNames: []string{c.cfg.Cluster}}
-	if err := stream.Send(req); err != nil {
+	request := &discoveryv3.DiscoveryRequest{Node: &corev3.Node{Id: client.node, Cluster: "cometpond"}, TypeUrl: TypeURL,
+		ResourceNames: []string{client.cfg.Cluster}}
+	if err := stream.Send(request); err != nil {
 		return false, fmt.Errorf("discovery request: %w", err)
 	}
 	version := ""
 	for {
-		res, err := stream.Recv()
+		response, err := stream.Recv()
 		if err != nil {
-			return heard, fmt.Errorf("discovery stream: %w", err)
+			return received, fmt.Errorf("discovery stream: %w", err)
 		}
-		c.change(func(s *Status) { s.Connected = true })
-		req := &discoveryv3.DiscoveryRequest{TypeUrl: TypeURL, ResourceNames: []string{c.cfg.Cluster}, ResponseNonce: res.GetNonce()}
-		list, a, err := c.read(res)
+		client.updateStatus(func(status *Status) { status.Connected = true })
+		request := &discoveryv3.DiscoveryRequest{TypeUrl: TypeURL, ResourceNames: []string{client.cfg.Cluster},
+			ResponseNonce: response.GetNonce()}
+		list, assignment, err := client.parseResponse(response)
 		if err != nil {
-			c.change(func(s *Status) { s.RejectedLists++ })
-			c.log.Warn().Str("version", res.GetVersionInfo()).Err(err).Msg("list refused; the last good one stays in force")
-			req.ErrorDetail = &statuspb.Status{Code: 3, Message: err.Error()} // INVALID_ARGUMENT
+			client.updateStatus(func(status *Status) { status.RejectedLists++ })
+			client.log.Warn().Str("version", response.GetVersionInfo()).Err(err).
+				Msg("invalid list refused; the last valid one stays in force")
+			request.ErrorDetail = &statuspb.Status{Code: 3, Message: err.Error()} // INVALID_ARGUMENT
 		} else {
-			// In force first: the acknowledgement is the moment from which drains count.
-			if err := wait(ctx, c.sink.Servers(list, true)); err != nil {
-				return heard, err
+			// The list must be in force first: the discovery server counts drains from the acknowledgement.
+			if err := waitInForce(ctx, client.sink.Servers(list, true)); err != nil {
+				return received, err
 			}
-			heard, version = true, res.GetVersionInfo()
-			c.change(func(s *Status) { s.Version, s.Servers = version, len(list) })
-			if c.keep != nil {
-				c.keep.keep(version, a)
+			received, version = true, response.GetVersionInfo()
+			client.updateStatus(func(status *Status) { status.Version, status.Servers = version, len(list) })
+			if client.store != nil {
+				client.store.save(version, assignment)
 			}
-			c.log.Debug().Str("version", version).Int("boxes", len(list)).Msg("list in force")
+			client.log.Debug().Str("version", version).Int("boxes", len(list)).Msg("list in force")
 		}
-		req.VersionInfo = version
-		if err := stream.Send(req); err != nil {
-			return heard, fmt.Errorf("discovery acknowledgement: %w", err)
+		request.VersionInfo = version
+		if err := stream.Send(request); err != nil {
+			return received, fmt.Errorf("discovery acknowledgement: %w", err)
 		}
 	}
 }
 
-// read checks a response and takes the cluster's assignment out of it.
-func (c *Client) read(res *discoveryv3.DiscoveryResponse) ([]policy.Server, *endpointv3.ClusterLoadAssignment, error) {
-	if res.GetTypeUrl() != TypeURL {
-		return nil, nil, fmt.Errorf("resources of type %s, want %s", res.GetTypeUrl(), TypeURL)
+// parseResponse validates a response and returns the cluster's assignment and its list of servers.
+func (client *Client) parseResponse(response *discoveryv3.DiscoveryResponse) ([]policy.Server, *endpointv3.ClusterLoadAssignment, error) {
+	if response.GetTypeUrl() != TypeURL {
+		return nil, nil, fmt.Errorf("resources of type %s, want %s", response.GetTypeUrl(), TypeURL)
 	}
-	for _, r := range res.GetResources() {
-		a := &endpointv3.ClusterLoadAssignment{}
-		if err := r.UnmarshalTo(a); err != nil {
+	for _, resource := range response.GetResources() {
+		assignment := &endpointv3.ClusterLoadAssignment{}
+		if err := resource.UnmarshalTo(assignment); err != nil {
 			return nil, nil, fmt.Errorf("resource: %w", err)
 		}
-		if a.GetClusterName() != c.cfg.Cluster {
+		if assignment.GetClusterName() != client.cfg.Cluster {
 			continue
 		}
-		list, err := ServersFromAssignment(a)
-		return list, a, err
+		list, err := ServersFromAssignment(assignment)
+		return list, assignment, err
 	}
-	return nil, nil, errors.New("no assignment for cluster " + c.cfg.Cluster)
+	return nil, nil, errors.New("no assignment for cluster " + client.cfg.Cluster)
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -22,19 +22,19 @@
 	"cometpond/policy"
 )
 
-// sink is a core that takes lists when the test lets it.
+// sink records lists of servers; the test decides when they come into force.
 type sink struct {
-	mu    sync.Mutex
-	lists [][]policy.Server
-	hold  chan struct{} // nil: taken at once
+	mu      sync.Mutex
+	lists   [][]policy.Server
+	inForce chan struct{} // closed by the test; nil: lists are in force at once
 }
 
 func (s *sink) Servers(list []policy.Server, whole bool) <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lists = append(s.lists, list)
-	if s.hold != nil {
-		return s.hold
+	if s.inForce != nil {
+		return s.inForce
 	}
 	done := make(chan struct{})
 	close(done)
@@ -50,110 +50,115 @@
 	return s.lists[len(s.lists)-1]
 }
 
-func wait(t *testing.T, done func() bool) {
+func waitFor(t *testing.T, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !done(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it did not come about in 20 s")
+			t.Fatal("the condition did not hold within 20 s")
 		}
 	}
 }
 
-// TestMain is also a client in a process of its own: with DISCOVERY_CHILD=restore it puts the list of DISCOVERY_KEEP in force
-// and prints how many boxes that has; with DISCOVERY_CHILD=ADDRESS it follows a server and keeps its list there.
+// TestMain also runs as a client in a process of its own: with DISCOVERY_CHILD=restore it restores the list stored in
+// DISCOVERY_KEEP and prints its number of servers; with DISCOVERY_CHILD=ADDRESS it follows that discovery server and
+// stores its lists in DISCOVERY_KEEP.
 func TestMain(m *testing.M) {
 	faults.Trap()
-	keep := os.Getenv("DISCOVERY_KEEP")
+	path := os.Getenv("DISCOVERY_KEEP")
 	switch child := os.Getenv("DISCOVERY_CHILD"); child {
 	case "":
 		os.Exit(m.Run())
 	case "restore":
 		s := &sink{}
-		err := discovery.NewClient(config.Discovery{Cluster: "boxes", CachePath: keep}, "me", s, zerolog.Nop()).Restore(context.Background())
+		err := discovery.NewClient(config.Discovery{Cluster: "boxes", CachePath: path}, "me", s, zerolog.Nop()).Restore(context.Background())
 		fmt.Println(len(s.last()), err)
 	default:
-		discovery.NewClient(config.Discovery{Servers: []string{child}, Cluster: "boxes", CachePath: keep}, "me", &sink{}, zerolog.Nop()).Run(context.Background())
+		discovery.NewClient(config.Discovery{Servers: []string{child}, Cluster: "boxes", CachePath: path}, "me", &sink{}, zerolog.Nop()).Run(context.Background())
 	}
 }
 
-// inProcess starts this program as a client in a process of its own, with faults on its calls.
-func inProcess(t *testing.T, child, keep string, calls []faults.Call, at ...faults.Fault) (*faults.Injector, *exec.Cmd, *bytes.Buffer) {
+// startChild starts this program as a client in a process of its own, with faults injected into its system calls.
+func startChild(t *testing.T, child, path string, calls []faults.Call, at ...faults.Fault) (*faults.Injector, *exec.Cmd, *bytes.Buffer) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "DISCOVERY_CHILD="+child, "DISCOVERY_KEEP="+keep)
+	cmd.Env = append(os.Environ(), "DISCOVERY_CHILD="+child, "DISCOVERY_KEEP="+path)
 	out := &bytes.Buffer{}
 	cmd.Stdout, cmd.Stderr = out, os.Stderr
-	in, err := faults.Start(cmd, calls, at...)
+	injector, err := faults.Start(cmd, calls, at...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
-		in.Wait()
+		injector.Wait()
 	})
-	return in, cmd, out
+	return injector, cmd, out
 }
 
-func TestListIsKeptOnceTheDiskTakesIt(t *testing.T) {
+// A list that could not be written, as the disk was full or failed, is stored once writing succeeds again, and no
+// temporary file remains.
+func TestListIsStoredOnceDiskRecovers(t *testing.T) {
 	for _, fault := range []faults.Fault{
 		{Call: faults.Write, On: "list.json", Errno: unix.ENOSPC}, {Call: faults.Fsync, On: "list.json", Errno: unix.EIO},
 		{Call: faults.Open, On: "list.json", Errno: unix.ENFILE}, {Call: faults.Rename, Errno: unix.EIO},
 	} {
-		e, err := standin.NewEDS("127.0.0.1:0", "boxes", list)
+		server, err := standin.NewEDS("127.0.0.1:0", "boxes", list)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer e.Close()
-		keep := filepath.Join(t.TempDir(), "list.json")
+		defer server.Close()
+		path := filepath.Join(t.TempDir(), "list.json")
 		fault.Share = 1
-		in, _, _ := inProcess(t, e.Addr(), keep, []faults.Call{fault.Call}, fault)
-		wait(t, func() bool { return len(e.Told()) == 1 && in.Counts()[fault.Call] > 0 })
-		if _, err := os.Stat(keep); err == nil {
-			t.Fatalf("kept though %s fails: the test shows nothing", fault.Call)
+		injector, _, _ := startChild(t, server.Addr(), path, []faults.Call{fault.Call}, fault)
+		waitFor(t, func() bool { return len(server.Told()) == 1 && injector.Counts()[fault.Call] > 0 })
+		if _, err := os.Stat(path); err == nil {
+			t.Fatalf("the list was stored although %s fails: the fault was not injected", fault.Call)
 		}
-		in.Set()
-		wait(t, func() bool { _, err := os.Stat(keep); return err == nil })
-		if entries, _ := os.ReadDir(filepath.Dir(keep)); len(entries) != 1 {
+		injector.Set()
+		waitFor(t, func() bool { _, err := os.Stat(path); return err == nil })
+		if entries, _ := os.ReadDir(filepath.Dir(path)); len(entries) != 1 {
 			t.Errorf("%s: %d files beside the list", fault.Call, len(entries)-1)
 		}
 	}
 }
 
-func TestKeptListIsReadThoughTheDiskFailsForAMoment(t *testing.T) {
-	keep := filepath.Join(t.TempDir(), "list.json")
-	e, err := standin.NewEDS("127.0.0.1:0", "boxes", list)
+// Restore retries when the stored list cannot be read for a moment.
+func TestStoredListIsReadAfterBriefDiskFault(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "list.json")
+	server, err := standin.NewEDS("127.0.0.1:0", "boxes", list)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer e.Close()
-	follow(t, e, &sink{}, keep)
-	wait(t, func() bool { return len(e.Told()) == 1 })
+	defer server.Close()
+	follow(t, server, &sink{}, path)
+	waitFor(t, func() bool { return len(server.Told()) == 1 })
 	for _, fault := range []faults.Fault{{Call: faults.Open, Errno: unix.ENFILE}, {Call: faults.Open, Errno: unix.EIO}, {Call: faults.Read, Errno: unix.EIO}} {
 		fault.On, fault.Share, fault.Burst, fault.Pause = "list.json", 1, 300*time.Millisecond, time.Hour
-		in, cmd, out := inProcess(t, "restore", keep, []faults.Call{fault.Call}, fault)
+		injector, cmd, out := startChild(t, "restore", path, []faults.Call{fault.Call}, fault)
 		if err := cmd.Wait(); err != nil {
 			t.Fatal(err)
 		}
-		if got := out.String(); got != "2 <nil>\n" || in.Counts()[fault.Call] == 0 {
-			t.Errorf("%s failing %d times by %v: %q", fault.Call, in.Counts()[fault.Call], fault.Errno, got)
+		if got := out.String(); got != "2 <nil>\n" || injector.Counts()[fault.Call] == 0 {
+			t.Errorf("%s failed %d times with %v: %q", fault.Call, injector.Counts()[fault.Call], fault.Errno, got)
 		}
 	}
 }
 
-func TestHalfWrittenListIsRemoved(t *testing.T) {
-	folder := t.TempDir()
-	keep := filepath.Join(folder, "list.json")
-	for _, name := range []string{keep + ".new-123", keep + ".bak"} {
+// Restore removes temporary files that a killed process has left, and no others.
+func TestTemporaryFilesAreRemoved(t *testing.T) {
+	directory := t.TempDir()
+	path := filepath.Join(directory, "list.json")
+	for _, name := range []string{path + ".new-123", path + ".bak"} {
 		if err := os.WriteFile(name, []byte("{"), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	s := &sink{}
-	if err := discovery.NewClient(config.Discovery{Cluster: "boxes", CachePath: keep}, "me", s, zerolog.Nop()).Restore(context.Background()); err != nil || s.last() != nil {
+	if err := discovery.NewClient(config.Discovery{Cluster: "boxes", CachePath: path}, "me", s, zerolog.Nop()).Restore(context.Background()); err != nil || s.last() != nil {
 		t.Errorf("%v, %v: want no list", err, s.last())
 	}
-	entries, err := os.ReadDir(folder)
+	entries, err := os.ReadDir(directory)
 	if err != nil || len(entries) != 1 || entries[0].Name() != "list.json.bak" {
 		t.Errorf("%v %v, want list.json.bak alone", entries, err)
 	}
@@ -162,95 +167,96 @@
 var list = []policy.Server{{ID: "127.0.0.1:1", Zone: "a", Cell: 1, Weight: 2, SinceS: 1700000000.5},
 	{ID: "127.0.0.1:2", Zone: "b", Weight: 1, State: policy.Draining}}
 
-func follow(t *testing.T, e *standin.EDS, s *sink, keep string) *discovery.Client {
-	c := discovery.NewClient(config.Discovery{Servers: []string{"127.0.0.1:9", e.Addr()}, Cluster: "boxes", CachePath: keep}, "me", s, zerolog.Nop())
+func follow(t *testing.T, server *standin.EDS, s *sink, path string) *discovery.Client {
+	client := discovery.NewClient(config.Discovery{Servers: []string{"127.0.0.1:9", server.Addr()}, Cluster: "boxes", CachePath: path}, "me", s, zerolog.Nop())
 	ctx, cancel := context.WithCancel(context.Background())
 	var work sync.WaitGroup
 	work.Add(1)
-	go func() { defer work.Done(); c.Run(ctx) }()
+	go func() { defer work.Done(); client.Run(ctx) }()
 	t.Cleanup(func() { cancel(); work.Wait() })
-	return c
+	return client
 }
 
-// A list goes round by the protocol unchanged, and is acknowledged only once it is in force. The first
-// server in order is down.
+// A list passes through the protocol unchanged and is acknowledged only once it is in force. The first discovery server
+// of the configuration is down.
 func TestInForceBeforeAcknowledged(t *testing.T) {
-	e, err := standin.NewEDS("127.0.0.1:0", "boxes", list)
+	server, err := standin.NewEDS("127.0.0.1:0", "boxes", list)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer e.Close()
-	s := &sink{hold: make(chan struct{})}
-	c := follow(t, e, s, "")
-	wait(t, func() bool { return s.last() != nil })
+	defer server.Close()
+	s := &sink{inForce: make(chan struct{})}
+	client := follow(t, server, s, "")
+	waitFor(t, func() bool { return s.last() != nil })
 	got := s.last()
 	if len(got) != 2 || got[0] != list[0] || got[1] != list[1] {
 		t.Fatalf("%+v, want %+v", got, list)
 	}
 	time.Sleep(50 * time.Millisecond)
-	if n := len(e.Told()); n != 0 {
+	if n := len(server.Told()); n != 0 {
 		t.Fatalf("%d acknowledgements before the list was in force", n)
 	}
-	close(s.hold)
-	wait(t, func() bool { return len(e.Told()) == 1 })
-	if a := e.Told()[0]; a.Node != "me" || a.Version != 1 || a.Error != "" || !c.Status().Connected {
+	close(s.inForce)
+	waitFor(t, func() bool { return len(server.Told()) == 1 })
+	if a := server.Told()[0]; a.Node != "me" || a.Version != 1 || a.Error != "" || !client.Status().Connected {
 		t.Fatalf("%+v", a)
 	}
 }
 
-// A bad list is refused with its reason, the last good one stays, and a good one after it is taken.
-func TestBadListIsRefused(t *testing.T) {
-	e, err := standin.NewEDS("127.0.0.1:0", "boxes", list)
+// An invalid list is refused with a reason and the last valid one stays in force; the next valid list is accepted.
+func TestInvalidListIsRefused(t *testing.T) {
+	server, err := standin.NewEDS("127.0.0.1:0", "boxes", list)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer e.Close()
+	defer server.Close()
 	s := &sink{}
-	c := follow(t, e, s, "")
-	wait(t, func() bool { return len(e.Told()) == 1 })
-	e.Set([]policy.Server{{ID: "127.0.0.1:3"}}) // no zone
-	wait(t, func() bool { return len(e.Told()) == 2 })
-	if a := e.Told()[1]; a.Version != 1 || !strings.Contains(a.Error, "no zone") {
+	client := follow(t, server, s, "")
+	waitFor(t, func() bool { return len(server.Told()) == 1 })
+	server.Set([]policy.Server{{ID: "127.0.0.1:3"}}) // no zone
+	waitFor(t, func() bool { return len(server.Told()) == 2 })
+	if a := server.Told()[1]; a.Version != 1 || !strings.Contains(a.Error, "no zone") {
 		t.Fatalf("%+v", a)
 	}
-	if len(s.last()) != 2 || c.Status().RejectedLists != 1 {
-		t.Fatalf("%+v, %+v", s.last(), c.Status())
+	if len(s.last()) != 2 || client.Status().RejectedLists != 1 {
+		t.Fatalf("%+v, %+v", s.last(), client.Status())
 	}
-	e.Set(list[:1])
-	wait(t, func() bool { return len(e.Told()) == 3 && len(s.last()) == 1 })
+	server.Set(list[:1])
+	waitFor(t, func() bool { return len(server.Told()) == 3 && len(s.last()) == 1 })
 }
 
-// The last list is kept, found again at a start without discovery, and a damaged file is an error and no list.
-func TestKeptList(t *testing.T) {
-	keep := filepath.Join(t.TempDir(), "list.json")
-	e, err := standin.NewEDS("127.0.0.1:0", "boxes", list)
+// The last list is stored and restored at a start without a discovery server. A damaged file is an error and yields no
+// list.
+func TestStoredList(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "list.json")
+	server, err := standin.NewEDS("127.0.0.1:0", "boxes", list)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := &sink{}
-	follow(t, e, s, keep)
-	wait(t, func() bool { return len(e.Told()) == 1 })
-	e.Close()
+	follow(t, server, s, path)
+	waitFor(t, func() bool { return len(server.Told()) == 1 })
+	server.Close()
 	again := &sink{}
-	c := discovery.NewClient(config.Discovery{Servers: []string{"127.0.0.1:9"}, Cluster: "boxes", CachePath: keep}, "me", again, zerolog.Nop())
-	if err := c.Restore(context.Background()); err != nil || len(again.last()) != 2 || again.last()[1] != list[1] {
+	client := discovery.NewClient(config.Discovery{Servers: []string{"127.0.0.1:9"}, Cluster: "boxes", CachePath: path}, "me", again, zerolog.Nop())
+	if err := client.Restore(context.Background()); err != nil || len(again.last()) != 2 || again.last()[1] != list[1] {
 		t.Fatalf("%v %+v", err, again.last())
 	}
-	raw, err := os.ReadFile(keep)
+	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, bad := range []string{"", string(raw[:len(raw)/2]), `{"version":"1","assignment":{"nope":1}}`} {
-		if err := os.WriteFile(keep, []byte(bad), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(bad), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		empty := &sink{}
-		c := discovery.NewClient(config.Discovery{CachePath: keep, Cluster: "boxes"}, "me", empty, zerolog.Nop())
-		if err := c.Restore(context.Background()); err == nil || empty.last() != nil {
+		client := discovery.NewClient(config.Discovery{CachePath: path, Cluster: "boxes"}, "me", empty, zerolog.Nop())
+		if err := client.Restore(context.Background()); err == nil || empty.last() != nil {
 			t.Errorf("%q: %v, %v", bad, err, empty.last())
 		}
 	}
-	if entries, _ := os.ReadDir(filepath.Dir(keep)); len(entries) != 1 {
+	if entries, _ := os.ReadDir(filepath.Dir(path)); len(entries) != 1 {
 		t.Errorf("%d files beside the list", len(entries)-1)
 	}
 }
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -13,85 +13,86 @@
 	"google.golang.org/protobuf/encoding/protojson"
 )
 
-// File keeps the last list on disk, replaced as a whole.
+// File stores the last list on disk. The file is always replaced as a whole.
 type File struct {
 	Path string
 }
 
-type kept struct {
+// storedList is the content of the file.
+type storedList struct {
 	Version    string          `json:"version"`
 	At         time.Time       `json:"at"`
 	Assignment json.RawMessage `json:"assignment"`
 }
 
-// Load reads the list, nil if there is none.
-func (f *File) Load() (version string, at time.Time, a *endpointv3.ClusterLoadAssignment, err error) {
-	raw, err := os.ReadFile(f.Path)
+// Load reads the list; the assignment is nil if there is no file.
+func (file *File) Load() (version string, at time.Time, assignment *endpointv3.ClusterLoadAssignment, err error) {
+	raw, err := os.ReadFile(file.Path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return "", time.Time{}, nil, nil
 	} else if err != nil {
-		return "", time.Time{}, nil, fmt.Errorf("kept list: %w", err)
+		return "", time.Time{}, nil, fmt.Errorf("stored list: %w", err)
 	}
-	var k kept
-	a = &endpointv3.ClusterLoadAssignment{}
-	if err := json.Unmarshal(raw, &k); err != nil {
-		return "", time.Time{}, nil, fmt.Errorf("kept list %s: %w", f.Path, err)
+	var stored storedList
+	assignment = &endpointv3.ClusterLoadAssignment{}
+	if err := json.Unmarshal(raw, &stored); err != nil {
+		return "", time.Time{}, nil, fmt.Errorf("stored list %s: %w", file.Path, err)
 	}
-	if err := protojson.Unmarshal(k.Assignment, a); err != nil {
-		return "", time.Time{}, nil, fmt.Errorf("kept list %s: %w", f.Path, err)
+	if err := protojson.Unmarshal(stored.Assignment, assignment); err != nil {
+		return "", time.Time{}, nil, fmt.Errorf("stored list %s: %w", file.Path, err)
 	}
-	return k.Version, k.At, a, nil
+	return stored.Version, stored.At, assignment, nil
 }
 
-// besideSuffix marks files that a list is written to before it replaces the old one.
-const besideSuffix = ".new-"
+// temporarySuffix marks the temporary files to which a list is written before it replaces the old one.
+const temporarySuffix = ".new-"
 
-// Store replaces the list: written to the side, flushed to disk, then renamed over the old one.
-func (f *File) Store(version string, at time.Time, a *endpointv3.ClusterLoadAssignment) error {
-	text, err := protojson.Marshal(a)
+// Store replaces the list: it writes a temporary file, flushes it to disk and renames it over the old one.
+func (file *File) Store(version string, at time.Time, assignment *endpointv3.ClusterLoadAssignment) error {
+	text, err := protojson.Marshal(assignment)
 	if err != nil {
-		return fmt.Errorf("keep list: %w", err)
+		return fmt.Errorf("store list: %w", err)
 	}
-	raw, err := json.Marshal(kept{version, at, text})
+	raw, err := json.Marshal(storedList{version, at, text})
 	if err != nil {
-		return fmt.Errorf("keep list: %w", err)
+		return fmt.Errorf("store list: %w", err)
 	}
-	if err := f.replace(raw); err != nil {
-		return fmt.Errorf("keep list: %w", err)
+	if err := file.replace(raw); err != nil {
+		return fmt.Errorf("store list: %w", err)
 	}
 	return nil
 }
 
-// replace puts a new text in the place of the file's.
-func (f *File) replace(text []byte) error {
-	beside, err := os.CreateTemp(filepath.Dir(f.Path), filepath.Base(f.Path)+besideSuffix+"*")
+// replace atomically replaces the content of the file.
+func (file *File) replace(text []byte) error {
+	temporary, err := os.CreateTemp(filepath.Dir(file.Path), filepath.Base(file.Path)+temporarySuffix+"*")
 	if err != nil {
 		return err
 	}
-	defer os.Remove(beside.Name()) // does nothing once it is renamed
-	_, err = beside.Write(text)
-	if err = errors.Join(err, beside.Sync(), beside.Close()); err != nil {
+	defer os.Remove(temporary.Name()) // fails without effect after the rename
+	_, err = temporary.Write(text)
+	if err = errors.Join(err, temporary.Sync(), temporary.Close()); err != nil {
 		return err
 	}
-	if err := os.Rename(beside.Name(), f.Path); err != nil {
+	if err := os.Rename(temporary.Name(), file.Path); err != nil {
 		return err
 	}
-	return syncFolder(filepath.Dir(f.Path))
+	return syncDirectory(filepath.Dir(file.Path))
 }
 
-// syncFolder has the names in a folder outlast a crash of the machine.
-func syncFolder(path string) error {
-	folder, err := os.Open(path)
+// syncDirectory makes changes of names in a directory survive a crash of the machine.
+func syncDirectory(path string) error {
+	directory, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	return errors.Join(folder.Sync(), folder.Close())
+	return errors.Join(directory.Sync(), directory.Close())
 }
 
-// Clean removes what a process that was killed left half written beside the list.
-func (f *File) Clean() error {
-	left, err := filepath.Glob(f.Path + besideSuffix + "*")
-	for _, name := range left {
+// RemoveTemporary removes temporary files that a killed process has left beside the list.
+func (file *File) RemoveTemporary() error {
+	leftovers, err := filepath.Glob(file.Path + temporarySuffix + "*")
+	for _, name := range leftovers {
 		err = errors.Join(err, os.Remove(name))
 	}
 	return err
--- a/internal/discovery/keeper.go
+++ b/internal/discovery/keeper.go
@@ -9,57 +9,58 @@
 	"github.com/rs/zerolog"
 )
 
-// keepAgain is the time between two tries to write a list that could not be written.
-const keepAgain = 200 * time.Millisecond
+// storeRetryInterval is the time between two attempts to write a list that could not be written.
+const storeRetryInterval = 200 * time.Millisecond
 
-// keeper writes the newest list to a file, and tries again until that has succeeded.
-type keeper struct {
+// listStore writes the newest list to a file and retries until that succeeds.
+type listStore struct {
 	file *File
 	log  zerolog.Logger
 
-	mu        sync.Mutex // covers the file as well
-	unwritten *listToKeep
+	mu      sync.Mutex // guards the file too
+	pending *pendingList
 }
 
-type listToKeep struct {
+// pendingList is a list that has not been written yet.
+type pendingList struct {
 	version    string
 	at         time.Time
 	assignment *endpointv3.ClusterLoadAssignment
 }
 
-// keep takes the newest list and writes it, now or later.
-func (k *keeper) keep(version string, a *endpointv3.ClusterLoadAssignment) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.unwritten = &listToKeep{version, time.Now(), a}
-	if err := k.write(); err != nil {
-		k.log.Warn().Err(err).Msg("list not kept on disk, trying again")
+// save writes a list that replaces all earlier ones, at once or, when that fails, with the next retry.
+func (store *listStore) save(version string, assignment *endpointv3.ClusterLoadAssignment) {
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	store.pending = &pendingList{version, time.Now(), assignment}
+	if err := store.writePending(); err != nil {
+		store.log.Warn().Err(err).Msg("could not store the list on disk; will retry")
 	}
 }
 
-// write writes what is not written. The lock is held.
-func (k *keeper) write() error {
-	if k.unwritten == nil {
+// writePending writes the pending list, if there is one. The caller holds the lock.
+func (store *listStore) writePending() error {
+	if store.pending == nil {
 		return nil
 	}
-	if err := k.file.Store(k.unwritten.version, k.unwritten.at, k.unwritten.assignment); err != nil {
+	if err := store.file.Store(store.pending.version, store.pending.at, store.pending.assignment); err != nil {
 		return err
 	}
-	k.unwritten = nil
+	store.pending = nil
 	return nil
 }
 
-// run tries again until ctx is over, and once more then.
-func (k *keeper) run(ctx context.Context) {
-	tick := time.NewTicker(keepAgain)
+// retryPending retries the pending list until ctx is done, and then once more.
+func (store *listStore) retryPending(ctx context.Context) {
+	tick := time.NewTicker(storeRetryInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-tick.C:
 		}
-		k.mu.Lock()
-		_ = k.write() // said already
-		k.mu.Unlock()
+		store.mu.Lock()
+		_ = store.writePending() // save has logged the first failure
+		store.mu.Unlock()
 	}
 }
