--- a/internal/instance/fronts_test.go
+++ b/internal/instance/fronts_test.go
@@ -132,7 +132,8 @@
 			t.Fatal(err)
 		}
 		go func() { // sends until flow control blocks it, ends with the stream
-			for i := 0; stream.Send(&pb.StreamRequest{Id: uint64(i), Request: &pb.DoRequest{Words: [][]byte{[]byte("JOB.STATUS"), []byte("1")}}}) == nil; i++ {
+			for i := 0; stream.Send(&pb.StreamRequest{Id: uint64(i),
+				Request: &pb.DoRequest{Words: [][]byte{[]byte("JOB.STATUS"), []byte("1")}}}) == nil; i++ {
 			}
 		}()
 	}
@@ -191,7 +192,8 @@
 	for b.Loop() {
 		cfg := unlimitedConfig(b, 64, []string{"127.0.0.1:1"})
 		cfg.GRPC = &config.GRPC{Listen: "127.0.0.1:0", MaxConnections: 1000, MaxStreams: 1000, MaxStreamRequests: 64, MaxMessageBytes: 1 << 20,
-			Domains: []config.Domain{{Name: "edge", SecretHash: config.HashSecret("e"), Descriptors: []config.Descriptor{{CustomerKey: "client", Units: 1}}}}}
+			Domains: []config.Domain{{Name: "edge", SecretHash: config.HashSecret("e"),
+				Descriptors: []config.Descriptor{{CustomerKey: "client", Units: 1}}}}}
 		in, addr := startGateway(b, cfg)
 		conn := dialRPC(b, in)
 		limits, health := rlsv3.NewRateLimitServiceClient(conn), healthv1.NewHealthClient(conn)
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -135,7 +135,8 @@
 	}
 	registry := access.New(cfg)
 	if cfg.GRPC != nil {
-		in.rpc, err = rpc.Start(rpcCore{calls, in.loop, in.pauses}, rpc.Options{GRPC: *cfg.GRPC, Book: registry, Log: options.Log.With().Str("part", "rpc").Logger()})
+		in.rpc, err = rpc.Start(rpcCore{calls, in.loop, in.pauses}, rpc.Options{GRPC: *cfg.GRPC, Book: registry,
+			Log: options.Log.With().Str("part", "rpc").Logger()})
 		if err != nil {
 			return nil, err
 		}
@@ -259,32 +260,41 @@
 	}
 	section("Server", "instance", in.cfg.Self, "zone", in.cfg.Zone, "uptime_in_seconds", int(time.Since(in.startedAt).Seconds()))
 	status := in.loop.Status()
-	section("Requests", "taken", status.Taken, "served", status.Served, "refused", status.Refused, "failed", status.Failed, "admitted", status.Admitted,
-		"client_gone", status.Gone, "joined", status.Joined, "repeated", status.Repeated, "overfull", status.Overfull, "overdue", status.Overdue,
-		"stalls", in.pauses.Seen(), "too_late", status.TooLate, "in_flight", status.Held, "waiting", status.Waiting, "attempts", status.Attempts, "attempt_timeouts", status.Timeouts,
+	section("Requests", "taken", status.Taken, "served", status.Served, "refused", status.Refused, "failed", status.Failed,
+		"admitted", status.Admitted,
+		"client_gone", status.Gone, "joined", status.Joined, "repeated", status.Repeated, "overfull", status.Overfull,
+		"overdue", status.Overdue,
+		"stalls", in.pauses.Seen(), "too_late", status.TooLate, "in_flight", status.Held, "waiting", status.Waiting,
+		"attempts", status.Attempts, "attempt_timeouts", status.Timeouts,
 		"late_answers", status.Late, "probes", status.Probes)
 	if in.front != nil {
 		counts := in.front.Counts()
-		section("Clients", "connections", counts.Open, "connections_total", counts.Opened, "connections_cut", counts.Cut, "commands", counts.Commands,
-			"logins_denied", counts.Denied, "connections_parked", counts.Parked, "input_held", counts.Input.Held, "input_waiting", counts.Input.Waiting,
+		section("Clients", "connections", counts.Open, "connections_total", counts.Opened, "connections_cut", counts.Cut,
+			"commands", counts.Commands,
+			"logins_denied", counts.Denied, "connections_parked", counts.Parked, "input_held", counts.Input.Held,
+			"input_waiting", counts.Input.Waiting,
 			"input_strangers", counts.Input.Strangers)
 	}
 	if in.rpc != nil {
 		counts := in.rpc.Counts()
-		section("gRPC", "calls", counts.Calls, "stream_requests", counts.Requests, "streams", counts.Open, "calls_denied", counts.Denied,
+		section("gRPC", "calls", counts.Calls, "stream_requests", counts.Requests, "streams", counts.Open,
+			"calls_denied", counts.Denied,
 			"rpc_connections_cut", counts.Cut)
 	}
 	poolCounts := in.pool.Counts()
-	section("Boxes", "box_connections", poolCounts.OpenConnections, "dials", poolCounts.Dials, "dials_failed", poolCounts.DialsFailed, "attempts_broken", poolCounts.AttemptsBroken)
+	section("Boxes", "box_connections", poolCounts.OpenConnections, "dials", poolCounts.Dials,
+		"dials_failed", poolCounts.DialsFailed, "attempts_broken", poolCounts.AttemptsBroken)
 	if in.discovery != nil {
 		discoveryStatus := in.discovery.Status()
-		section("Discovery", "discovery_connected", discoveryStatus.Connected, "list_version", discoveryStatus.Version, "list_boxes", discoveryStatus.Servers,
+		section("Discovery", "discovery_connected", discoveryStatus.Connected, "list_version", discoveryStatus.Version,
+			"list_boxes", discoveryStatus.Servers,
 			"lists_refused", discoveryStatus.RejectedLists)
 	}
 	if in.peers != nil {
 		counts := in.peers.Counts()
 		section("Peers", "messages_sent", counts.Sent, "messages_unsent", counts.Unsent, "messages_heard", counts.Heard,
-			"messages_dropped", status.Dropped, "foreign", counts.Foreign, "replayed", counts.Replayed, "old", counts.Old, "misdirected", counts.WrongWay)
+			"messages_dropped", status.Dropped, "foreign", counts.Foreign, "replayed", counts.Replayed, "old", counts.Old,
+			"misdirected", counts.WrongWay)
 	}
 	return text.String()
 }
--- a/internal/instance/measure_test.go
+++ b/internal/instance/measure_test.go
@@ -178,7 +178,8 @@
 	for i := range 3 {
 		p := standin.DefaultParams
 		p.Cores, p.Queue = 64, 100000
-		b, err := standin.NewBox("127.0.0.1:0", standin.BoxOptions{Params: p, Seed: uint64(i), Jobs: map[string]standin.Job{"JOB.STATUS": {Work: work}}})
+		b, err := standin.NewBox("127.0.0.1:0", standin.BoxOptions{Params: p, Seed: uint64(i),
+			Jobs: map[string]standin.Job{"JOB.STATUS": {Work: work}}})
 		if err != nil {
 			tb.Fatal(err)
 		}
