--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -38,7 +38,7 @@
 func (a actions) Send(id, server string, timing policy.Timing) {
 	l := a.w.Begin("FORWARD", a.i).ID("id", id).ID("backend", server)
 	if timing.AnswerS != 0 {
-		l.Num("withinS", timing.AnswerS)
+		l.Float("withinS", timing.AnswerS)
 	}
 	l.End()
 }
@@ -46,7 +46,7 @@
 func (a actions) Refuse(id string, retryInS float64, _ policy.Refusal) {
 	l := a.w.Begin("BOUNCE", a.i).ID("id", id)
 	if retryInS > 0 {
-		l.Num("retryInS", retryInS)
+		l.Float("retryInS", retryInS)
 	}
 	l.End()
 }
@@ -61,7 +61,7 @@
 }
 
 func (a actions) SetTimer(token uint64, delayS float64) {
-	a.w.Begin("WAKE_AT", a.i).Int("mark", int64(token)).Num("offsetS", delayS).End()
+	a.w.Begin("WAKE_AT", a.i).Int("mark", int64(token)).Float("offsetS", delayS).End()
 }
 
 func (a actions) Probe(server string) { a.w.Begin("HEALTH_CHECK", a.i).ID("backend", server).End() }
@@ -70,7 +70,7 @@
 	a.w.Begin("BROADCAST_TO", a.i).Int("addressee", int64(gateway)).Hex("data", data).End()
 }
 
-func (a actions) Log(text string) { a.w.Begin("EMIT", a.i).Str("msg", text).End() }
+func (a actions) Log(text string) { a.w.Begin("EMIT", a.i).Text("msg", text).End() }
 
 func run(in io.Reader, out io.Writer) error {
 	h := &host{
@@ -89,7 +89,7 @@
 		}
 		switch {
 		case h.line.Name == "CLOCK":
-			if h.now, err = h.line.Num("timeS"); err != nil {
+			if h.now, err = h.line.Float("timeS"); err != nil {
 				return err
 			}
 			inBatch = true
@@ -124,7 +124,7 @@
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			h.out.Begin("FAULT", i).Str("msg", fmt.Sprint(p)).End()
+			h.out.Begin("FAULT", i).Text("msg", fmt.Sprint(p)).End()
 		}
 	}()
 	call, err := deliver(h, i)
@@ -196,8 +196,8 @@
 func (f *fields) text(n string) string    { v, err := f.l.Text(n); return keep(f, v, err) }
 func (f *fields) num(n string) int        { v, err := f.l.Int(n); return keep(f, v, err) }
 func (f *fields) optInt(n string) int     { v, err := f.l.OptInt(n); return keep(f, v, err) }
-func (f *fields) float(n string) float64  { v, err := f.l.Num(n); return keep(f, v, err) }
-func (f *fields) optNum(n string) float64 { v, err := f.l.OptNum(n); return keep(f, v, err) }
+func (f *fields) float(n string) float64  { v, err := f.l.Float(n); return keep(f, v, err) }
+func (f *fields) optNum(n string) float64 { v, err := f.l.OptFloat(n); return keep(f, v, err) }
 func (f *fields) flag(n string) bool      { v, err := f.l.OptBool(n); return keep(f, v, err) }
 
 func (f *fields) status() policy.Status {
@@ -214,7 +214,7 @@
 
 func (f *fields) load() *policy.Load {
 	r := policy.Load{InFlight: -1, Queue: -1, Util: -1, ServiceMS: -1, ServedPerS: -1, FailedPerS: -1}
-	some, err := f.l.Pairs("load", func(name string, v float64) {
+	some, err := f.l.ForEachPair("load", func(name string, v float64) {
 		switch name {
 		case "busy_reqs":
 			r.InFlight = v
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -179,7 +179,7 @@
 		known = append(known, sexp.Field{Name: name, Required: name == "ingress" || name == "classes" || name == "plans",
 			Read: func(_ *sexp.Reader, node *sexp.Node) { found[name] = node }})
 	}
-	reader.Fields(top, "file", file.Forms, known)
+	reader.ReadFields(top, "file", file.Forms, known)
 	for _, name := range order {
 		if node := found[name]; node != nil && reader.Err == nil {
 			cfg.readSection(reader, name, node)
@@ -194,27 +194,27 @@
 func (cfg *Config) readSection(reader *sexp.Reader, name string, node *sexp.Node) {
 	switch name {
 	case "ingress":
-		reader.Fields(node, name, node.Args(), []sexp.Field{
+		reader.ReadFields(node, name, node.Args(), []sexp.Field{
 			sexp.IntField("me", true, &cfg.Self, 0, 1023), sexp.TextField("zone", true, &cfg.Zone),
 			addressField("listen", true, &cfg.Listen),
 			sexp.IntField("loops", false, &cfg.EventLoops, 1, 64),
 			sexp.TimeField("drain", false, &cfg.DrainTimeout, 0, 5*time.Minute)})
 	case "instances":
-		reader.Fields(node, name, node.Args(), []sexp.Field{{Name: "instance", Required: true, Many: true,
+		reader.ReadFields(node, name, node.Args(), []sexp.Field{{Name: "instance", Required: true, Repeated: true,
 			Read: cfg.readInstance}, {Name: "key", Read: cfg.readPeerKey}})
 	case "classes":
-		reader.Fields(node, name, node.Args(), []sexp.Field{{Name: "class", Required: true, Many: true, Read: cfg.readClass}})
+		reader.ReadFields(node, name, node.Args(), []sexp.Field{{Name: "class", Required: true, Repeated: true, Read: cfg.readClass}})
 	case "plans":
-		reader.Fields(node, name, node.Args(), []sexp.Field{{Name: "plan", Required: true, Many: true, Read: cfg.readPlan}})
+		reader.ReadFields(node, name, node.Args(), []sexp.Field{{Name: "plan", Required: true, Repeated: true, Read: cfg.readPlan}})
 	case "rules":
-		reader.Fields(node, name, node.Args(), []sexp.Field{
+		reader.ReadFields(node, name, node.Args(), []sexp.Field{
 			sexp.SecondsField("answer-slack", false, &cfg.Rules.AnswerSlackS, 0, time.Second),
-			sexp.NumField("cold-from", false, &cfg.Rules.ColdStartShare, 0, 1),
+			sexp.NumberField("cold-from", false, &cfg.Rules.ColdStartShare, 0, 1),
 			sexp.SecondsField("cold", false, &cfg.Rules.ColdPeriodS, 0, time.Hour),
-			sexp.NumField("fall-multiple", false, &cfg.Rules.OverloadMultiple, 1, 100),
+			sexp.NumberField("fall-multiple", false, &cfg.Rules.OverloadMultiple, 1, 100),
 			sexp.SecondsField("fall", false, &cfg.Rules.OverloadWindowS, 0, time.Minute)})
 	case "front":
-		reader.Fields(node, name, node.Args(), []sexp.Field{
+		reader.ReadFields(node, name, node.Args(), []sexp.Field{
 			sexp.IntField("connections", false, &cfg.Front.MaxConnections, 1, 1<<20),
 			sexp.IntField("bulk", false, &cfg.Front.MaxArgumentBytes, 64, 64<<20),
 			sexp.IntField("pipeline", false, &cfg.Front.MaxPipelined, 1, 1<<16),
@@ -224,7 +224,7 @@
 	case "backend":
 		loads := []string{"probe", "answer", "none"}
 		yes := 1
-		reader.Fields(node, name, node.Args(), []sexp.Field{
+		reader.ReadFields(node, name, node.Args(), []sexp.Field{
 			sexp.IntField("connections", false, &cfg.Backend.MaxConnections, 1, 1024),
 			sexp.IntField("pipeline", false, &cfg.Backend.MaxPipelined, 1, 1024),
 			sexp.TimeField("connect", false, &cfg.Backend.ConnectTimeout, time.Millisecond, time.Minute),
@@ -235,24 +235,24 @@
 	case "grpc":
 		cfg.readGRPC(reader, node)
 	case "boxes":
-		reader.Fields(node, name, node.Args(), []sexp.Field{{Name: "box", Required: true, Many: true, Read: cfg.readServer}})
+		reader.ReadFields(node, name, node.Args(), []sexp.Field{{Name: "box", Required: true, Repeated: true, Read: cfg.readServer}})
 	case "discovery":
 		discovery := &Discovery{}
-		reader.Fields(node, name, node.Args(), []sexp.Field{{Name: "server", Required: true, Many: true,
+		reader.ReadFields(node, name, node.Args(), []sexp.Field{{Name: "server", Required: true, Repeated: true,
 			Read: func(reader *sexp.Reader, node *sexp.Node) {
-				discovery.Servers = append(discovery.Servers, readAddress(reader, reader.One(node, "ADDRESS"), "server"))
+				discovery.Servers = append(discovery.Servers, readAddress(reader, reader.SingleArgument(node, "ADDRESS"), "server"))
 			}}, sexp.TextField("cluster", true, &discovery.Cluster), sexp.TextField("keep", false, &discovery.CachePath)})
 		cfg.Discovery = discovery
 	case "commands":
-		reader.Fields(node, name, node.Args(), []sexp.Field{{Name: "command", Many: true, Read: cfg.readCommand},
+		reader.ReadFields(node, name, node.Args(), []sexp.Field{{Name: "command", Repeated: true, Read: cfg.readCommand},
 			{Name: "throttle", Read: func(reader *sexp.Reader, node *sexp.Node) {
-				reader.Fields(node, "throttle", node.Args(), []sexp.Field{{Name: "class", Required: true,
+				reader.ReadFields(node, "throttle", node.Args(), []sexp.Field{{Name: "class", Required: true,
 					Read: func(reader *sexp.Reader, node *sexp.Node) {
-						cfg.ThrottleClass = cfg.classIndex(reader, reader.One(node, "CLASS"))
+						cfg.ThrottleClass = cfg.classIndex(reader, reader.SingleArgument(node, "CLASS"))
 					}}})
 			}}})
 	case "clients":
-		reader.Fields(node, name, node.Args(), []sexp.Field{{Name: "client", Required: true, Many: true, Read: cfg.clientReader()}})
+		reader.ReadFields(node, name, node.Args(), []sexp.Field{{Name: "client", Required: true, Repeated: true, Read: cfg.clientReader()}})
 	}
 }
 
@@ -267,7 +267,7 @@
 
 func addressField(name string, required bool, to *string) sexp.Field {
 	return sexp.Field{Name: name, Required: required,
-		Read: func(r *sexp.Reader, n *sexp.Node) { *to = readAddress(r, r.One(n, "ADDRESS"), name) }}
+		Read: func(r *sexp.Reader, n *sexp.Node) { *to = readAddress(r, r.SingleArgument(n, "ADDRESS"), name) }}
 }
 
 func (cfg *Config) readInstance(reader *sexp.Reader, node *sexp.Node) {
@@ -276,7 +276,7 @@
 		reader.Fail(node, "instance", "holds %d values, want (instance NUMBER PEER-ADDRESS)", len(args))
 		return
 	}
-	instance := Instance{reader.Whole(args[0], "instance", 0, 1023), readAddress(reader, args[1], "instance")}
+	instance := Instance{reader.Integer(args[0], "instance", 0, 1023), readAddress(reader, args[1], "instance")}
 	if instance.Number != len(cfg.Instances) {
 		reader.Fail(args[0], "instance", "number %d, want %d: instances are numbered from 0, in order",
 			instance.Number, len(cfg.Instances))
@@ -285,7 +285,7 @@
 }
 
 func (cfg *Config) readPeerKey(reader *sexp.Reader, node *sexp.Node) {
-	arg := reader.One(node, "HEX")
+	arg := reader.SingleArgument(node, "HEX")
 	key, err := hex.DecodeString(strings.TrimSpace(reader.Name(arg, "key")))
 	if reader.Err == nil && (err != nil || len(key) != 32) {
 		reader.Fail(arg, "key", "want 64 hex digits, as `openssl rand -hex 32` prints them")
@@ -295,12 +295,12 @@
 
 func (cfg *Config) readClass(reader *sexp.Reader, node *sexp.Node) {
 	class := policy.Class{Worth: 1}
-	name, rest := reader.Named(node)
+	name, rest := reader.NameAndRest(node)
 	class.Name = name
-	reader.Fields(node, "class "+name, rest, []sexp.Field{
+	reader.ReadFields(node, "class "+name, rest, []sexp.Field{
 		sexp.SecondsField("aim", true, &class.AimS, time.Millisecond, time.Hour),
 		sexp.SecondsField("deadline", true, &class.DeadlineS, time.Millisecond, time.Hour),
-		sexp.NumField("worth", false, &class.Worth, 0, 1e6), sexp.NumField("late-worth", false, &class.LateWorth, 0, 1),
+		sexp.NumberField("worth", false, &class.Worth, 0, 1e6), sexp.NumberField("late-worth", false, &class.LateWorth, 0, 1),
 		sexp.ChoiceField("effect", true, &class.Effect, []string{"safe", "keyed", "unsafe"},
 			[]policy.Effect{policy.Safe, policy.Keyed, policy.Unsafe}),
 		sexp.ChoiceField("key-scope", false, &class.KeyScope, []string{"all", "zone", "cell"},
@@ -322,17 +322,17 @@
 
 func (cfg *Config) readPlan(reader *sexp.Reader, node *sexp.Node) {
 	plan := policy.Plan{Price: 1, ExcessCost: 1}
-	name, rest := reader.Named(node)
+	name, rest := reader.NameAndRest(node)
 	plan.Name = name
 	where := "plan " + name
-	reader.Fields(node, where, rest, []sexp.Field{
-		sexp.NumField("rate", false, &plan.Rate, 0.001, maxRate), sexp.NumField("burst", false, &plan.Burst, 1, maxBurst),
-		sexp.IntField("parallel", false, &plan.Parallel, 1, 65000), sexp.NumField("price", false, &plan.Price, 0, 1e6),
-		sexp.NumField("excess-cost", false, &plan.ExcessCost, 0, 100), sexp.NumField("extra-worth", false, &plan.ExtraWorth, 0, 1),
+	reader.ReadFields(node, where, rest, []sexp.Field{
+		sexp.NumberField("rate", false, &plan.Rate, 0.001, maxRate), sexp.NumberField("burst", false, &plan.Burst, 1, maxBurst),
+		sexp.IntField("parallel", false, &plan.Parallel, 1, 65000), sexp.NumberField("price", false, &plan.Price, 0, 1e6),
+		sexp.NumberField("excess-cost", false, &plan.ExcessCost, 0, 100), sexp.NumberField("extra-worth", false, &plan.ExtraWorth, 0, 1),
 		{Name: "ceiling", Read: func(reader *sexp.Reader, node *sexp.Node) {
-			reader.Fields(node, where+" ceiling", node.Args(), []sexp.Field{sexp.NumField("rate", true, &plan.CeilingRate, 0.001, maxRate),
-				sexp.NumField("burst", true, &plan.CeilingBurst, 1, maxBurst),
-				sexp.NumField("slack", false, &plan.CeilingSlack, 0, maxBurst)})
+			reader.ReadFields(node, where+" ceiling", node.Args(), []sexp.Field{sexp.NumberField("rate", true, &plan.CeilingRate, 0.001, maxRate),
+				sexp.NumberField("burst", true, &plan.CeilingBurst, 1, maxBurst),
+				sexp.NumberField("slack", false, &plan.CeilingSlack, 0, maxBurst)})
 		}}})
 	if plan.Rate > 0 && plan.Burst == 0 || plan.Rate == 0 && plan.Burst > 0 {
 		reader.Fail(node, where, "want (rate ..) and (burst ..) together, or neither")
@@ -359,9 +359,9 @@
 	}
 	server.ID = readAddress(reader, node.Args()[0], "box")
 	where := "box " + server.ID
-	reader.Fields(node, where, node.Args()[1:], []sexp.Field{sexp.TextField("zone", true, &server.Zone),
+	reader.ReadFields(node, where, node.Args()[1:], []sexp.Field{sexp.TextField("zone", true, &server.Zone),
 		sexp.IntField("cell", false, &server.Cell, 0, 1<<20),
-		sexp.NumField("weight", false, &server.Weight, 0.001, 1e6),
+		sexp.NumberField("weight", false, &server.Weight, 0.001, 1e6),
 		sexp.ChoiceField("state", false, &server.State, []string{"up", "draining"}, []policy.State{policy.Up, policy.Draining})})
 	for _, other := range cfg.Servers {
 		if other.ID == server.ID {
@@ -395,11 +395,11 @@
 
 func (cfg *Config) readCommand(reader *sexp.Reader, node *sexp.Node) {
 	command := Command{Units: 1, Class: -1}
-	name, rest := reader.Named(node)
+	name, rest := reader.NameAndRest(node)
 	command.Name = strings.ToUpper(name)
 	where := "command " + name
-	reader.Fields(node, where, rest, []sexp.Field{
-		{Name: "class", Required: true, Read: func(r *sexp.Reader, n *sexp.Node) { command.Class = cfg.classIndex(r, r.One(n, "CLASS")) }},
+	reader.ReadFields(node, where, rest, []sexp.Field{
+		{Name: "class", Required: true, Read: func(r *sexp.Reader, n *sexp.Node) { command.Class = cfg.classIndex(r, r.SingleArgument(n, "CLASS")) }},
 		sexp.IntField("arity", true, &command.Arity, -64, 64), sexp.IntField("units", false, &command.Units, 1, maxUnits),
 		sexp.IntField("units-at", false, &command.UnitsIndex, 1, 63), sexp.IntField("key-at", false, &command.KeyIndex, 1, 63)})
 	minWords := max(command.Arity, -command.Arity)
@@ -425,11 +425,11 @@
 	seen := map[string]bool{}
 	return func(reader *sexp.Reader, node *sexp.Node) {
 		client := Client{Plan: -1}
-		name, rest := reader.Named(node)
+		name, rest := reader.NameAndRest(node)
 		client.Name = name
 		where := "client " + name
-		reader.Fields(node, where, rest, []sexp.Field{
-			{Name: "plan", Required: true, Read: func(r *sexp.Reader, n *sexp.Node) { client.Plan = cfg.planIndex(r, r.One(n, "PLAN")) }},
+		reader.ReadFields(node, where, rest, []sexp.Field{
+			{Name: "plan", Required: true, Read: func(r *sexp.Reader, n *sexp.Node) { client.Plan = cfg.planIndex(r, r.SingleArgument(n, "PLAN")) }},
 			{Name: "secret-sha256", Required: true,
 				Read: func(r *sexp.Reader, n *sexp.Node) { client.SecretHash = readSecretHash(r, n) }}})
 		if seen[name] {
@@ -445,18 +445,18 @@
 
 func (cfg *Config) readGRPC(reader *sexp.Reader, node *sexp.Node) {
 	grpc := &GRPC{MaxConnections: 10000, MaxStreams: 1000, MaxStreamRequests: 256, MaxMessageBytes: 1 << 20}
-	reader.Fields(node, "grpc", node.Args(), []sexp.Field{
+	reader.ReadFields(node, "grpc", node.Args(), []sexp.Field{
 		addressField("listen", true, &grpc.Listen),
 		sexp.IntField("connections", false, &grpc.MaxConnections, 1, 1<<20),
 		sexp.IntField("streams", false, &grpc.MaxStreams, 1, 1<<20), sexp.IntField("ahead", false, &grpc.MaxStreamRequests, 1, 1<<16),
 		sexp.IntField("message", false, &grpc.MaxMessageBytes, 1<<10, 64<<20),
 		{Name: "tls", Read: func(reader *sexp.Reader, node *sexp.Node) {
-			reader.Fields(node, "grpc tls", node.Args(), []sexp.Field{sexp.TextField("certificate", true, &grpc.CertificateFile),
+			reader.ReadFields(node, "grpc tls", node.Args(), []sexp.Field{sexp.TextField("certificate", true, &grpc.CertificateFile),
 				sexp.TextField("key", true, &grpc.KeyFile), sexp.TextField("clients", false, &grpc.ClientCAFile)})
 		}},
-		{Name: "domain", Many: true, Read: func(reader *sexp.Reader, node *sexp.Node) {
+		{Name: "domain", Repeated: true, Read: func(reader *sexp.Reader, node *sexp.Node) {
 			domain := Domain{}
-			name, rest := reader.Named(node)
+			name, rest := reader.NameAndRest(node)
 			domain.Name = name
 			where := "domain " + name
 			for _, other := range grpc.Domains {
@@ -464,11 +464,11 @@
 					reader.Fail(node, where, "given twice, want each name once")
 				}
 			}
-			reader.Fields(node, where, rest, []sexp.Field{
+			reader.ReadFields(node, where, rest, []sexp.Field{
 				{Name: "secret-sha256", Required: true,
 					Read: func(r *sexp.Reader, n *sexp.Node) { domain.SecretHash = readSecretHash(r, n) }},
 				sexp.ChoiceField("unmatched", true, &domain.AllowUnmatched, []string{"allow", "refuse"}, []bool{true, false}),
-				{Name: "descriptor", Required: true, Many: true, Read: func(reader *sexp.Reader, node *sexp.Node) {
+				{Name: "descriptor", Required: true, Repeated: true, Read: func(reader *sexp.Reader, node *sexp.Node) {
 					domain.Descriptors = append(domain.Descriptors, cfg.readDescriptor(reader, node, where))
 				}}})
 			grpc.Domains = append(grpc.Domains, domain)
@@ -478,10 +478,10 @@
 
 func (cfg *Config) readDescriptor(reader *sexp.Reader, node *sexp.Node, where string) Descriptor {
 	descriptor := Descriptor{Units: 1}
-	reader.Fields(node, where+" descriptor", node.Args(), []sexp.Field{
+	reader.ReadFields(node, where+" descriptor", node.Args(), []sexp.Field{
 		sexp.TextField("customer", true, &descriptor.CustomerKey), sexp.IntField("units", false, &descriptor.Units, 1, maxUnits),
-		{Name: "class", Required: true, Read: func(r *sexp.Reader, n *sexp.Node) { descriptor.Class = cfg.classIndex(r, r.One(n, "CLASS")) }},
-		{Name: "entry", Many: true, Read: func(reader *sexp.Reader, node *sexp.Node) {
+		{Name: "class", Required: true, Read: func(r *sexp.Reader, n *sexp.Node) { descriptor.Class = cfg.classIndex(r, r.SingleArgument(n, "CLASS")) }},
+		{Name: "entry", Repeated: true, Read: func(reader *sexp.Reader, node *sexp.Node) {
 			args := node.Args()
 			if len(args) != 1 && len(args) != 2 {
 				reader.Fail(node, "entry", "holds %d values, want (entry KEY) or (entry KEY VALUE)", len(args))
@@ -498,7 +498,7 @@
 
 // readSecretHash reads the hash of a secret as hex digits.
 func readSecretHash(reader *sexp.Reader, node *sexp.Node) (to [sha256.Size]byte) {
-	arg := reader.One(node, "HEX")
+	arg := reader.SingleArgument(node, "HEX")
 	sum, err := hex.DecodeString(reader.Name(arg, node.Head()))
 	if reader.Err == nil && (err != nil || len(sum) != sha256.Size) {
 		reader.Fail(arg, node.Head(), "want 64 hex digits, as `cometpond secret` prints them")
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -47,17 +47,17 @@
 }
 
 // parse splits a line; the fields named in textFields run to its end.
-func (l *Line) parse(s string) error {
-	l.fields = l.fields[:0]
+func (line *Line) parse(s string) error {
+	line.fields = line.fields[:0]
 	name, rest, more := strings.Cut(s, "\t")
-	l.Name = name
+	line.Name = name
 	if name == "" {
 		return fmt.Errorf("malformed line: no message name")
 	}
 	for more {
 		var part string
 		if k, v, ok := strings.Cut(rest, "="); ok && k == "settings" && !strings.Contains(k, "\t") {
-			l.fields = append(l.fields, field{k, v})
+			line.fields = append(line.fields, field{k, v})
 			return nil
 		}
 		part, rest, more = strings.Cut(rest, "\t")
@@ -65,124 +65,126 @@
 		if !ok || k == "" {
 			return fmt.Errorf("%s: malformed field %q", name, part)
 		}
-		l.fields = append(l.fields, field{k, v})
+		line.fields = append(line.fields, field{k, v})
 	}
 	return nil
 }
 
 // Has tells whether the field came with the line.
-func (l *Line) Has(name string) bool { _, ok := l.get(name); return ok }
+func (line *Line) Has(name string) bool { _, ok := line.get(name); return ok }
 
-func (l *Line) get(name string) (string, bool) {
-	for i := range l.fields {
-		if l.fields[i].name == name {
-			return l.fields[i].value, true
+func (line *Line) get(name string) (string, bool) {
+	for i := range line.fields {
+		if line.fields[i].name == name {
+			return line.fields[i].value, true
 		}
 	}
 	return "", false
 }
 
-func (l *Line) missing(name string) error { return fmt.Errorf("%s: field %s is missing", l.Name, name) }
+func (line *Line) missing(name string) error {
+	return fmt.Errorf("%s: field %s is missing", line.Name, name)
+}
 
-func (l *Line) bad(name, v string) error {
-	return fmt.Errorf("%s: field %s cannot be read: %q", l.Name, name, v)
+func (line *Line) bad(name, v string) error {
+	return fmt.Errorf("%s: field %s cannot be read: %q", line.Name, name, v)
 }
 
 // Text returns a required text field.
-func (l *Line) Text(name string) (string, error) {
-	v, ok := l.get(name)
+func (line *Line) Text(name string) (string, error) {
+	v, ok := line.get(name)
 	if !ok || v == "" {
-		return "", l.missing(name)
+		return "", line.missing(name)
 	}
 	return v, nil
 }
 
 // Int returns a required whole number.
-func (l *Line) Int(name string) (int, error) {
-	if !l.Has(name) {
-		return 0, l.missing(name)
+func (line *Line) Int(name string) (int, error) {
+	if !line.Has(name) {
+		return 0, line.missing(name)
 	}
-	return l.OptInt(name)
+	return line.OptInt(name)
 }
 
 // OptInt returns a whole number, 0 where it was left off.
-func (l *Line) OptInt(name string) (int, error) {
-	v, ok := l.get(name)
+func (line *Line) OptInt(name string) (int, error) {
+	v, ok := line.get(name)
 	if !ok {
 		return 0, nil
 	}
 	n, err := strconv.Atoi(v)
 	if err != nil {
-		return 0, l.bad(name, v)
+		return 0, line.bad(name, v)
 	}
 	return n, nil
 }
 
 // Uint returns a required whole number of up to 64 bits.
-func (l *Line) Uint(name string) (uint64, error) {
-	v, ok := l.get(name)
+func (line *Line) Uint(name string) (uint64, error) {
+	v, ok := line.get(name)
 	if !ok {
-		return 0, l.missing(name)
+		return 0, line.missing(name)
 	}
 	n, err := strconv.ParseUint(v, 10, 64)
 	if err != nil {
-		return 0, l.bad(name, v)
+		return 0, line.bad(name, v)
 	}
 	return n, nil
 }
 
-// Num returns a required number.
-func (l *Line) Num(name string) (float64, error) {
-	if !l.Has(name) {
-		return 0, l.missing(name)
+// Float returns a required number.
+func (line *Line) Float(name string) (float64, error) {
+	if !line.Has(name) {
+		return 0, line.missing(name)
 	}
-	return l.OptNum(name)
+	return line.OptFloat(name)
 }
 
-// OptNum returns a number, 0 where it was left off.
-func (l *Line) OptNum(name string) (float64, error) {
-	v, ok := l.get(name)
+// OptFloat returns a number, 0 where it was left off.
+func (line *Line) OptFloat(name string) (float64, error) {
+	v, ok := line.get(name)
 	if !ok {
 		return 0, nil
 	}
 	x, err := strconv.ParseFloat(v, 64)
 	if err != nil || x != x || x > 1e18 || x < -1e18 {
-		return 0, l.bad(name, v)
+		return 0, line.bad(name, v)
 	}
 	return x, nil
 }
 
 // OptBool returns a bool, false where it was left off.
-func (l *Line) OptBool(name string) (bool, error) {
-	v, ok := l.get(name)
+func (line *Line) OptBool(name string) (bool, error) {
+	v, ok := line.get(name)
 	if !ok || v == "0" {
 		return false, nil
 	}
 	if v != "1" {
-		return false, l.bad(name, v)
+		return false, line.bad(name, v)
 	}
 	return true, nil
 }
 
 // Hex returns a required field of bytes.
-func (l *Line) Hex(name string) ([]byte, error) {
-	v, ok := l.get(name)
+func (line *Line) Hex(name string) ([]byte, error) {
+	v, ok := line.get(name)
 	if !ok {
-		return nil, l.missing(name)
+		return nil, line.missing(name)
 	}
 	if v == "-" {
 		return nil, nil
 	}
 	b, err := hex.DecodeString(v)
 	if err != nil {
-		return nil, l.bad(name, v)
+		return nil, line.bad(name, v)
 	}
 	return b, nil
 }
 
-// Pairs calls f for each name:value of an optional field.
-func (l *Line) Pairs(name string, f func(name string, v float64)) (bool, error) {
-	v, ok := l.get(name)
+// ForEachPair calls f for each name:value of an optional field.
+func (line *Line) ForEachPair(name string, f func(name string, v float64)) (bool, error) {
+	v, ok := line.get(name)
 	if !ok || v == "" {
 		return false, nil
 	}
@@ -190,7 +192,7 @@
 		k, x, ok := strings.Cut(part, ":")
 		n, err := strconv.ParseFloat(x, 64)
 		if !ok || err != nil {
-			return false, l.bad(name, v)
+			return false, line.bad(name, v)
 		}
 		f(k, n)
 	}
@@ -217,8 +219,8 @@
 	w.b = append(append(append(w.b, '\t'), name...), '=')
 }
 
-// Str adds a text field.
-func (w *Writer) Str(name, v string) *Writer {
+// Text adds a text field.
+func (w *Writer) Text(name, v string) *Writer {
 	w.key(name)
 	w.b = append(w.b, strings.NewReplacer("\n", " ", "\r", " ", "\t", " ").Replace(v)...)
 	return w
@@ -234,8 +236,8 @@
 	return w
 }
 
-// Num adds a number, to the microsecond.
-func (w *Writer) Num(name string, v float64) *Writer {
+// Float adds a number, to the microsecond.
+func (w *Writer) Float(name string, v float64) *Writer {
 	w.key(name)
 	w.b = strconv.AppendFloat(w.b, v, 'f', 6, 64)
 	return w
