--- a/internal/sexp/sexp.go
+++ b/internal/sexp/sexp.go
@@ -1,5 +1,5 @@
-// Package sexp reads files of S-expressions with a schema: named lists of known fields, each with its range.
-// What is wrong is told once, with file, line and field, and with what would be right.
+// Package sexp reads files of S-expressions with a schema: named lists of known fields, each with a valid range.
+// Only the first error is reported. It names file, line and field, and says what is expected.
 package sexp
 
 import (
@@ -48,7 +48,7 @@
 	participle.Unquote("String"),
 )
 
-// Head is the name that a list begins with, "" for anything else.
+// Head returns the name that a list begins with, or "" for anything else.
 func (n *Node) Head() string {
 	if n.List == nil || len(n.List.Items) == 0 || n.List.Items[0].Symbol == nil {
 		return ""
@@ -56,9 +56,10 @@
 	return *n.List.Items[0].Symbol
 }
 
-// Args are the items of a list after its name.
+// Args returns the items of a list after its name.
 func (n *Node) Args() []*Node { return n.List.Items[1:] }
 
+// String returns the node as it stands in the file; a list is abbreviated to its name.
 func (n *Node) String() string {
 	switch {
 	case n.Text != nil:
@@ -76,22 +77,23 @@
 // Reader walks a parsed file and keeps the first error.
 type Reader struct{ Err error }
 
-// Fail notes an error at a place: where, which field, and what would be right.
+// Fail records an error at a node, unless there is one already. The message says what is wrong and what is expected.
 func (r *Reader) Fail(n *Node, field, format string, args ...any) {
 	if r.Err == nil {
 		r.Err = fmt.Errorf("%s: %s: %s", n.Pos, field, fmt.Sprintf(format, args...))
 	}
 }
 
-// Field says how one named list within another is read.
+// Field describes a named list within another list and how to read it.
 type Field struct {
 	Name     string
 	Required bool
-	Repeated bool
+	Repeated bool // whether it may occur more than once
 	Read     func(r *Reader, n *Node)
 }
 
-// ReadFields reads the named lists among items. Unknown, repeated and missing ones are errors.
+// ReadFields reads items, which must be named lists of the known fields. Unknown fields, repetitions that are not
+// allowed and missing required fields are errors.
 func (r *Reader) ReadFields(at *Node, where string, items []*Node, known []Field) {
 	seen := map[string]bool{}
 	for _, n := range items {
@@ -121,7 +123,7 @@
 	}
 }
 
-// SingleArgument returns the only argument of a list.
+// SingleArgument returns the only argument of a list; want is its placeholder in the error message.
 func (r *Reader) SingleArgument(n *Node, want string) *Node {
 	if a := n.Args(); len(a) == 1 {
 		return a[0]
@@ -177,7 +179,7 @@
 	return d
 }
 
-// Choice reads one of several words.
+// Choice reads one of several words and returns the value of the same index.
 func Choice[T any](r *Reader, n *Node, field string, words []string, values []T) T {
 	if n.Symbol != nil {
 		for i, w := range words {
@@ -206,7 +208,7 @@
 	return Field{name, required, false, func(r *Reader, n *Node) { *to = r.Integer(r.SingleArgument(n, "NUMBER"), name, lo, hi) }}
 }
 
-// SecondsField is a field that holds a time, as seconds.
+// SecondsField is a field that holds a time; the value is stored in seconds.
 func SecondsField(name string, required bool, to *float64, lo, hi time.Duration) Field {
 	return Field{name, required, false, func(r *Reader, n *Node) {
 		*to = r.Duration(r.SingleArgument(n, "TIME"), name, lo, hi).Seconds()
@@ -225,10 +227,10 @@
 	}}
 }
 
-// Parse reads a text; path is used in errors.
+// Parse parses a text; path is used in errors.
 func Parse(path, text string) (*File, error) { return parser.ParseString(path, text) }
 
-// NameAndRest reads the name that a list begins with and returns it with the rest.
+// NameAndRest returns the first argument of a list, which is its name, and the arguments after it.
 func (r *Reader) NameAndRest(n *Node) (string, []*Node) {
 	if len(n.Args()) == 0 {
 		r.Fail(n, n.Head(), "holds nothing, want (%s NAME ..)", n.Head())
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire reads and writes the lines of the simulator's protocol. It knows
-// their form, not what to do about them.
+// Package wire reads and writes the lines of the simulator's protocol. It handles
+// their syntax only; cmd/simhost gives them their meaning.
 package wire
 
 import (
@@ -12,7 +12,7 @@
 	"strings"
 )
 
-// Line is one message: a name and its fields in the order in which they came.
+// Line is one message: a name and its fields in the order of the input.
 type Line struct {
 	Name   string
 	fields []field
@@ -20,33 +20,33 @@
 
 type field struct{ name, value string }
 
-// Reader reads lines.
+// Reader reads lines of any length.
 type Reader struct {
-	r    *bufio.Reader
-	long []byte
+	buffered *bufio.Reader
+	longLine []byte // buffer for lines longer than that of buffered
 }
 
-// NewReader returns a Reader on r.
-func NewReader(r io.Reader) *Reader { return &Reader{r: bufio.NewReaderSize(r, 1<<20)} }
+// NewReader returns a Reader that reads from r.
+func NewReader(r io.Reader) *Reader { return &Reader{buffered: bufio.NewReaderSize(r, 1<<20)} }
 
 // Next reads the next line into l. It returns io.EOF at the end of the input.
-func (r *Reader) Next(l *Line) error {
-	raw, err := r.r.ReadSlice('\n')
+func (r *Reader) Next(line *Line) error {
+	raw, err := r.buffered.ReadSlice('\n')
 	if err == bufio.ErrBufferFull {
-		r.long = append(r.long[:0], raw...)
+		r.longLine = append(r.longLine[:0], raw...)
 		for err == bufio.ErrBufferFull {
-			raw, err = r.r.ReadSlice('\n')
-			r.long = append(r.long, raw...)
+			raw, err = r.buffered.ReadSlice('\n')
+			r.longLine = append(r.longLine, raw...)
 		}
-		raw = r.long
+		raw = r.longLine
 	}
 	if err != nil && (err != io.EOF || len(raw) == 0) {
 		return err
 	}
-	return l.parse(string(bytes.TrimRight(raw, "\r\n")))
+	return line.parse(string(bytes.TrimRight(raw, "\r\n")))
 }
 
-// parse splits a line; the fields named in textFields run to its end.
+// parse splits a line into its fields. The value of the field settings runs to the end of the line, tabs included.
 func (line *Line) parse(s string) error {
 	line.fields = line.fields[:0]
 	name, rest, more := strings.Cut(s, "\t")
@@ -70,10 +70,11 @@
 	return nil
 }
 
-// Has tells whether the field came with the line.
-func (line *Line) Has(name string) bool { _, ok := line.get(name); return ok }
+// Has reports whether the line has the field.
+func (line *Line) Has(name string) bool { _, ok := line.value(name); return ok }
 
-func (line *Line) get(name string) (string, bool) {
+// value returns the first value of a field.
+func (line *Line) value(name string) (string, bool) {
 	for i := range line.fields {
 		if line.fields[i].name == name {
 			return line.fields[i].value, true
@@ -82,17 +83,17 @@
 	return "", false
 }
 
-func (line *Line) missing(name string) error {
-	return fmt.Errorf("%s: field %s is missing", line.Name, name)
-}
+// missing returns the error for an absent field.
+func (line *Line) missing(k string) error { return fmt.Errorf("%s: field %s is missing", line.Name, k) }
 
-func (line *Line) bad(name, v string) error {
+// invalid returns the error for a field whose value cannot be parsed.
+func (line *Line) invalid(name, v string) error {
 	return fmt.Errorf("%s: field %s cannot be read: %q", line.Name, name, v)
 }
 
 // Text returns a required text field.
 func (line *Line) Text(name string) (string, error) {
-	v, ok := line.get(name)
+	v, ok := line.value(name)
 	if !ok || v == "" {
 		return "", line.missing(name)
 	}
@@ -107,28 +108,28 @@
 	return line.OptInt(name)
 }
 
-// OptInt returns a whole number, 0 where it was left off.
+// OptInt returns a whole number, or 0 if the field is absent.
 func (line *Line) OptInt(name string) (int, error) {
-	v, ok := line.get(name)
+	v, ok := line.value(name)
 	if !ok {
 		return 0, nil
 	}
 	n, err := strconv.Atoi(v)
 	if err != nil {
-		return 0, line.bad(name, v)
+		return 0, line.invalid(name, v)
 	}
 	return n, nil
 }
 
 // Uint returns a required whole number of up to 64 bits.
 func (line *Line) Uint(name string) (uint64, error) {
-	v, ok := line.get(name)
+	v, ok := line.value(name)
 	if !ok {
 		return 0, line.missing(name)
 	}
 	n, err := strconv.ParseUint(v, 10, 64)
 	if err != nil {
-		return 0, line.bad(name, v)
+		return 0, line.invalid(name, v)
 	}
 	return n, nil
 }
@@ -141,34 +142,34 @@
 	return line.OptFloat(name)
 }
 
-// OptFloat returns a number, 0 where it was left off.
+// OptFloat returns a number, or 0 if the field is absent.
 func (line *Line) OptFloat(name string) (float64, error) {
-	v, ok := line.get(name)
+	v, ok := line.value(name)
 	if !ok {
 		return 0, nil
 	}
 	x, err := strconv.ParseFloat(v, 64)
 	if err != nil || x != x || x > 1e18 || x < -1e18 {
-		return 0, line.bad(name, v)
+		return 0, line.invalid(name, v)
 	}
 	return x, nil
 }
 
-// OptBool returns a bool, false where it was left off.
+// OptBool returns a bool, or false if the field is absent.
 func (line *Line) OptBool(name string) (bool, error) {
-	v, ok := line.get(name)
+	v, ok := line.value(name)
 	if !ok || v == "0" {
 		return false, nil
 	}
 	if v != "1" {
-		return false, line.bad(name, v)
+		return false, line.invalid(name, v)
 	}
 	return true, nil
 }
 
-// Hex returns a required field of bytes.
+// Hex returns the bytes of a required field in hex digits; "-" stands for none.
 func (line *Line) Hex(name string) ([]byte, error) {
-	v, ok := line.get(name)
+	v, ok := line.value(name)
 	if !ok {
 		return nil, line.missing(name)
 	}
@@ -177,87 +178,88 @@
 	}
 	b, err := hex.DecodeString(v)
 	if err != nil {
-		return nil, line.bad(name, v)
+		return nil, line.invalid(name, v)
 	}
 	return b, nil
 }
 
-// ForEachPair calls f for each name:value of an optional field.
-func (line *Line) ForEachPair(name string, f func(name string, v float64)) (bool, error) {
-	v, ok := line.get(name)
+// ForEachPair calls visit for each name:value pair of an optional field. It reports whether there was any.
+func (line *Line) ForEachPair(name string, visit func(name string, v float64)) (bool, error) {
+	v, ok := line.value(name)
 	if !ok || v == "" {
 		return false, nil
 	}
 	for part := range strings.SplitSeq(v, ",") {
-		k, x, ok := strings.Cut(part, ":")
-		n, err := strconv.ParseFloat(x, 64)
+		pairName, text, ok := strings.Cut(part, ":")
+		number, err := strconv.ParseFloat(text, 64)
 		if !ok || err != nil {
-			return false, line.bad(name, v)
+			return false, line.invalid(name, v)
 		}
-		f(k, n)
+		visit(pairName, number)
 	}
 	return true, nil
 }
 
-// Writer gathers the lines of one reply.
+// Writer collects the lines of one reply.
 type Writer struct {
-	w *bufio.Writer
-	b []byte
+	output *bufio.Writer
+	buf    []byte // the line that is being written
 }
 
-// NewWriter returns a Writer on w.
-func NewWriter(w io.Writer) *Writer { return &Writer{w: bufio.NewWriterSize(w, 1<<18)} }
+// NewWriter returns a Writer that writes to w.
+func NewWriter(w io.Writer) *Writer { return &Writer{output: bufio.NewWriterSize(w, 1<<18)} }
 
-// Begin starts a line for an instance.
-func (w *Writer) Begin(name string, inst int) *Writer {
-	w.b = append(append(w.b[:0], name...), "\ti="...)
-	w.b = strconv.AppendInt(w.b, int64(inst), 10)
+// Begin starts a line about an instance, which stands in the field i.
+func (w *Writer) Begin(name string, instance int) *Writer {
+	w.buf = append(append(w.buf[:0], name...), "\ti="...)
+	w.buf = strconv.AppendInt(w.buf, int64(instance), 10)
 	return w
 }
 
+// key adds the separator and the name of a field.
 func (w *Writer) key(name string) {
-	w.b = append(append(append(w.b, '\t'), name...), '=')
+	w.buf = append(append(append(w.buf, '\t'), name...), '=')
 }
 
-// Text adds a text field.
+// Text adds a text field; line breaks and tabs become spaces.
 func (w *Writer) Text(name, v string) *Writer {
 	w.key(name)
-	w.b = append(w.b, strings.NewReplacer("\n", " ", "\r", " ", "\t", " ").Replace(v)...)
+	w.buf = append(w.buf, strings.NewReplacer("\n", " ", "\r", " ", "\t", " ").Replace(v)...)
 	return w
 }
 
-// ID adds a field whose text came from the wire and goes back as it was.
-func (w *Writer) ID(name, v string) *Writer { w.key(name); w.b = append(w.b, v...); return w }
+// ID adds a field whose text was received over the wire and is returned unchanged.
+func (w *Writer) ID(name, v string) *Writer { w.key(name); w.buf = append(w.buf, v...); return w }
 
 // Int adds a whole number.
 func (w *Writer) Int(name string, v int64) *Writer {
 	w.key(name)
-	w.b = strconv.AppendInt(w.b, v, 10)
+	w.buf = strconv.AppendInt(w.buf, v, 10)
 	return w
 }
 
-// Float adds a number, to the microsecond.
+// Float adds a number with six decimals (microseconds for a time in seconds).
 func (w *Writer) Float(name string, v float64) *Writer {
 	w.key(name)
-	w.b = strconv.AppendFloat(w.b, v, 'f', 6, 64)
+	w.buf = strconv.AppendFloat(w.buf, v, 'f', 6, 64)
 	return w
 }
 
-// Hex adds a field of bytes.
+// Hex adds bytes as hex digits, "-" for none.
 func (w *Writer) Hex(name string, v []byte) *Writer {
 	w.key(name)
 	if len(v) == 0 {
-		w.b = append(w.b, '-')
+		w.buf = append(w.buf, '-')
 	}
-	w.b = hex.AppendEncode(w.b, v)
+	w.buf = hex.AppendEncode(w.buf, v)
 	return w
 }
 
-// End ends the line.
-func (w *Writer) End() { w.w.Write(append(w.b, '\n')) }
+// End completes the line.
+func (w *Writer) End() { w.output.Write(append(w.buf, '\n')) }
 
-// Flush ends the reply.
+// Flush completes the reply with the line NEXT and writes it out.
 func (w *Writer) Flush() error {
-	w.w.WriteString("NEXT\n")
-	return w.w.Flush()
+	w.output.WriteString("NEXT\n")
+	return w.output.Flush()
 }
