--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -252,7 +252,8 @@
 					}}})
 			}}})
 	case "clients":
-		reader.ReadFields(node, name, node.Args(), []sexp.Field{{Name: "client", Required: true, Repeated: true, Read: cfg.clientReader()}})
+		reader.ReadFields(node, name, node.Args(), []sexp.Field{{Name: "client", Required: true, Repeated: true,
+			Read: cfg.clientReader()}})
 	}
 }
 
@@ -328,9 +329,11 @@
 	reader.ReadFields(node, where, rest, []sexp.Field{
 		sexp.NumberField("rate", false, &plan.Rate, 0.001, maxRate), sexp.NumberField("burst", false, &plan.Burst, 1, maxBurst),
 		sexp.IntField("parallel", false, &plan.Parallel, 1, 65000), sexp.NumberField("price", false, &plan.Price, 0, 1e6),
-		sexp.NumberField("excess-cost", false, &plan.ExcessCost, 0, 100), sexp.NumberField("extra-worth", false, &plan.ExtraWorth, 0, 1),
+		sexp.NumberField("excess-cost", false, &plan.ExcessCost, 0, 100),
+		sexp.NumberField("extra-worth", false, &plan.ExtraWorth, 0, 1),
 		{Name: "ceiling", Read: func(reader *sexp.Reader, node *sexp.Node) {
-			reader.ReadFields(node, where+" ceiling", node.Args(), []sexp.Field{sexp.NumberField("rate", true, &plan.CeilingRate, 0.001, maxRate),
+			reader.ReadFields(node, where+" ceiling", node.Args(), []sexp.Field{
+				sexp.NumberField("rate", true, &plan.CeilingRate, 0.001, maxRate),
 				sexp.NumberField("burst", true, &plan.CeilingBurst, 1, maxBurst),
 				sexp.NumberField("slack", false, &plan.CeilingSlack, 0, maxBurst)})
 		}}})
@@ -399,7 +402,8 @@
 	command.Name = strings.ToUpper(name)
 	where := "command " + name
 	reader.ReadFields(node, where, rest, []sexp.Field{
-		{Name: "class", Required: true, Read: func(r *sexp.Reader, n *sexp.Node) { command.Class = cfg.classIndex(r, r.SingleArgument(n, "CLASS")) }},
+		{Name: "class", Required: true,
+			Read: func(r *sexp.Reader, n *sexp.Node) { command.Class = cfg.classIndex(r, r.SingleArgument(n, "CLASS")) }},
 		sexp.IntField("arity", true, &command.Arity, -64, 64), sexp.IntField("units", false, &command.Units, 1, maxUnits),
 		sexp.IntField("units-at", false, &command.UnitsIndex, 1, 63), sexp.IntField("key-at", false, &command.KeyIndex, 1, 63)})
 	minWords := max(command.Arity, -command.Arity)
@@ -429,7 +433,8 @@
 		client.Name = name
 		where := "client " + name
 		reader.ReadFields(node, where, rest, []sexp.Field{
-			{Name: "plan", Required: true, Read: func(r *sexp.Reader, n *sexp.Node) { client.Plan = cfg.planIndex(r, r.SingleArgument(n, "PLAN")) }},
+			{Name: "plan", Required: true,
+				Read: func(r *sexp.Reader, n *sexp.Node) { client.Plan = cfg.planIndex(r, r.SingleArgument(n, "PLAN")) }},
 			{Name: "secret-sha256", Required: true,
 				Read: func(r *sexp.Reader, n *sexp.Node) { client.SecretHash = readSecretHash(r, n) }}})
 		if seen[name] {
@@ -480,7 +485,8 @@
 	descriptor := Descriptor{Units: 1}
 	reader.ReadFields(node, where+" descriptor", node.Args(), []sexp.Field{
 		sexp.TextField("customer", true, &descriptor.CustomerKey), sexp.IntField("units", false, &descriptor.Units, 1, maxUnits),
-		{Name: "class", Required: true, Read: func(r *sexp.Reader, n *sexp.Node) { descriptor.Class = cfg.classIndex(r, r.SingleArgument(n, "CLASS")) }},
+		{Name: "class", Required: true,
+			Read: func(r *sexp.Reader, n *sexp.Node) { descriptor.Class = cfg.classIndex(r, r.SingleArgument(n, "CLASS")) }},
 		{Name: "entry", Repeated: true, Read: func(reader *sexp.Reader, node *sexp.Node) {
 			args := node.Args()
 			if len(args) != 1 && len(args) != 2 {
