--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -82,7 +82,10 @@
 	SecretHash [sha256.Size]byte
 }
 
-// Rules holds the thresholds of the five rules that the fleet keeps; times are in seconds.
+// Rules holds the thresholds of the five rules that the fleet keeps. Fields with the suffix S are in seconds.
+//
+// A server that has started recently is cold: it has at least ColdStartShare of its full capacity at the start, and all
+// of it after ColdPeriodS. The load sent to a cold server is limited over each window of OverloadWindowS.
 type Rules struct {
 	AnswerSlackS, ColdStartShare, ColdPeriodS, OverloadMultiple, OverloadWindowS float64
 }
@@ -266,6 +269,7 @@
 	return address
 }
 
+// addressField is a field that holds an address of the form host:port.
 func addressField(name string, required bool, to *string) sexp.Field {
 	return sexp.Field{Name: name, Required: required,
 		Read: func(r *sexp.Reader, n *sexp.Node) { *to = readAddress(r, r.SingleArgument(n, "ADDRESS"), name) }}
@@ -374,10 +378,12 @@
 	cfg.Servers = append(cfg.Servers, server)
 }
 
+// classIndex returns the index of the class that node names.
 func (cfg *Config) classIndex(reader *sexp.Reader, node *sexp.Node) int {
 	return indexByName(reader, node, "class", cfg.Classes, func(k policy.Class) string { return k.Name })
 }
 
+// planIndex returns the index of the plan that node names.
 func (cfg *Config) planIndex(reader *sexp.Reader, node *sexp.Node) int {
 	return indexByName(reader, node, "plan", cfg.Plans, func(p policy.Plan) string { return p.Name })
 }
--- a/internal/instance/fronts_test.go
+++ b/internal/instance/fronts_test.go
@@ -32,6 +32,7 @@
   (descriptor (customer client) (class job-status))))`, config.HashSecret("edge-secret"))
 }
 
+// basicAuth returns a context whose outgoing calls carry the credentials of a client or domain.
 func basicAuth(name, secret string) context.Context {
 	return metadata.AppendToOutgoingContext(context.Background(), "authorization",
 		"Basic "+base64.StdEncoding.EncodeToString([]byte(name+":"+secret)))
@@ -47,6 +48,7 @@
 	return c
 }
 
+// freeUDP returns a local UDP address that is free at the moment.
 func freeUDP(t *testing.T) string {
 	t.Helper()
 	c, err := net.ListenPacket("udp", "127.0.0.1:0")
--- a/internal/instance/instance_test.go
+++ b/internal/instance/instance_test.go
@@ -84,6 +84,7 @@
 	return n, servers
 }
 
+// start starts an instance with the settings and returns it with a client that is logged in.
 func (fx *fixture) start(seed uint64) (*Instance, *redis.Client) {
 	fx.t.Helper()
 	cfg, err := config.Parse("one", fx.settings)
--- a/internal/instance/measure_test.go
+++ b/internal/instance/measure_test.go
@@ -57,6 +57,7 @@
 	return b.String()
 }
 
+// startGateway starts a gateway for the duration of the benchmark and returns it with its RESP address.
 func startGateway(tb testing.TB, cfg *config.Config) (*Instance, string) {
 	tb.Helper()
 	in, err := Start(context.Background(), cfg, Options{Log: zerolog.Nop(), Seed: 1})
@@ -68,6 +69,7 @@
 	return in, a.String()
 }
 
+// login opens a connection to the gateway and authenticates as client.
 func login(tb testing.TB, addr, client string) net.Conn {
 	tb.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -173,18 +175,20 @@
 
 var throttleCommand = resp.AppendCommand(nil, "CL.THROTTLE", "k", "15", "30", "60")
 
+// startServers starts three test servers whose jobs take work seconds of one core on average, and returns
+// their addresses.
 func startServers(tb testing.TB, work float64) []string {
 	var list []string
 	for i := range 3 {
-		p := standin.DefaultParams
-		p.Cores, p.Queue = 64, 100000
-		b, err := standin.NewBox("127.0.0.1:0", standin.BoxOptions{Params: p, Seed: uint64(i),
+		params := standin.DefaultParams
+		params.Cores, params.Queue = 64, 100000
+		server, err := standin.NewBox("127.0.0.1:0", standin.BoxOptions{Params: params, Seed: uint64(i),
 			Jobs: map[string]standin.Job{"JOB.STATUS": {Work: work}}})
 		if err != nil {
 			tb.Fatal(err)
 		}
-		tb.Cleanup(b.Close)
-		list = append(list, b.Addr())
+		tb.Cleanup(server.Close)
+		list = append(list, server.Addr())
 	}
 	return list
 }
@@ -344,7 +348,7 @@
 	}
 }
 
-// BenchmarkCPU measures the CPU time a request of the whole process; docs/measurements.md tells how to profile its parts
+// BenchmarkCPU measures the CPU time a request of the whole process; docs/measurements.md explains how to profile its parts
 // (measurement e).
 func BenchmarkCPU(b *testing.B) {
 	list := startServers(b, 0.000001)
