--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -37,8 +37,8 @@
 
 func (a actions) Send(id, server string, timing policy.Timing) {
 	l := a.w.Begin("FORWARD", a.i).ID("id", id).ID("backend", server)
-	if timing.AnswerS != 0 {
-		l.Float("withinS", timing.AnswerS)
+	if timing.AnswerWithinS != 0 {
+		l.Num("withinS", timing.AnswerWithinS)
 	}
 	l.End()
 }
@@ -46,7 +46,7 @@
 func (a actions) Refuse(id string, retryInS float64, _ policy.Refusal) {
 	l := a.w.Begin("BOUNCE", a.i).ID("id", id)
 	if retryInS > 0 {
-		l.Float("retryInS", retryInS)
+		l.Num("retryInS", retryInS)
 	}
 	l.End()
 }
@@ -61,16 +61,16 @@
 }
 
 func (a actions) SetTimer(token uint64, delayS float64) {
-	a.w.Begin("WAKE_AT", a.i).Int("mark", int64(token)).Float("offsetS", delayS).End()
+	a.w.Begin("WAKE_AT", a.i).Int("mark", int64(token)).Num("offsetS", delayS).End()
 }
 
 func (a actions) Probe(server string) { a.w.Begin("HEALTH_CHECK", a.i).ID("backend", server).End() }
 
-func (a actions) Tell(gateway int, data []byte) {
+func (a actions) SendToPeer(gateway int, data []byte) {
 	a.w.Begin("BROADCAST_TO", a.i).Int("addressee", int64(gateway)).Hex("data", data).End()
 }
 
-func (a actions) Log(text string) { a.w.Begin("EMIT", a.i).Text("msg", text).End() }
+func (a actions) Log(text string) { a.w.Begin("EMIT", a.i).Str("msg", text).End() }
 
 func run(in io.Reader, out io.Writer) error {
 	h := &host{
@@ -89,7 +89,7 @@
 		}
 		switch {
 		case h.line.Name == "CLOCK":
-			if h.now, err = h.line.Float("timeS"); err != nil {
+			if h.now, err = h.line.Num("timeS"); err != nil {
 				return err
 			}
 			inBatch = true
@@ -124,7 +124,7 @@
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			h.out.Begin("FAULT", i).Text("msg", fmt.Sprint(p)).End()
+			h.out.Begin("FAULT", i).Str("msg", fmt.Sprint(p)).End()
 		}
 	}()
 	call, err := deliver(h, i)
@@ -158,7 +158,7 @@
 			return fmt.Errorf("%s: ITEM expected", h.line.Name)
 		}
 		s := policy.Server{ID: r.text("backend"), Zone: r.text("hall"), Cell: r.optInt("unitGroup"),
-			Weight: r.optNum("share"), SinceS: r.optNum("sinceS")}
+			Weight: r.optNum("share"), StartedAt: r.optNum("sinceS")}
 		switch v := r.text("status"); v {
 		case "U":
 			s.State = policy.Up
@@ -196,8 +196,8 @@
 func (f *fields) text(n string) string    { v, err := f.l.Text(n); return keep(f, v, err) }
 func (f *fields) num(n string) int        { v, err := f.l.Int(n); return keep(f, v, err) }
 func (f *fields) optInt(n string) int     { v, err := f.l.OptInt(n); return keep(f, v, err) }
-func (f *fields) float(n string) float64  { v, err := f.l.Float(n); return keep(f, v, err) }
-func (f *fields) optNum(n string) float64 { v, err := f.l.OptFloat(n); return keep(f, v, err) }
+func (f *fields) float(n string) float64  { v, err := f.l.Num(n); return keep(f, v, err) }
+func (f *fields) optNum(n string) float64 { v, err := f.l.OptNum(n); return keep(f, v, err) }
 func (f *fields) flag(n string) bool      { v, err := f.l.OptBool(n); return keep(f, v, err) }
 
 func (f *fields) status() policy.Status {
@@ -209,12 +209,12 @@
 	return s
 }
 
-var statuses = map[int]policy.Status{200: policy.OK, 500: policy.Error, 503: policy.Full, 504: policy.Timeout,
-	502: policy.ConnectFailed, 598: policy.Reset, 499: policy.Cancelled, 410: policy.Moot}
+var statuses = map[int]policy.Status{200: policy.OK, 500: policy.Error, 503: policy.Rejected, 504: policy.Timeout,
+	502: policy.ConnectFailed, 598: policy.Reset, 499: policy.Cancelled, 410: policy.NotSent}
 
 func (f *fields) load() *policy.Load {
 	r := policy.Load{InFlight: -1, Queue: -1, Util: -1, ServiceMS: -1, ServedPerS: -1, FailedPerS: -1}
-	some, err := f.l.ForEachPair("load", func(name string, v float64) {
+	some, err := f.l.Pairs("load", func(name string, v float64) {
 		switch name {
 		case "busy_reqs":
 			r.InFlight = v
@@ -247,7 +247,7 @@
 		if err != nil {
 			return nil, err
 		}
-		t, err := terms.Read([]byte(text))
+		t, err := terms.Parse([]byte(text))
 		if err != nil {
 			return nil, fmt.Errorf("ENLIST: field settings: %w", err)
 		}
@@ -286,24 +286,24 @@
 	"REQUEST": func(h *host, i int) (func(*policy.Gateway), error) {
 		f := fields{l: &h.line}
 		r := policy.Request{ID: f.text("id"), Class: f.text("kind"), Plan: f.text("tier"), Customer: f.text("holder"),
-			DeadlineS: f.float("dropDeadS"), First: f.optInt("base"), Entries: int(f.optNum("nEntries")),
-			Units: f.optNum("costUnits"), Retry: f.flag("isRetry")}
+			DeadlineAt: f.float("dropDeadS"), FirstGateway: f.optInt("base"), GatewayCount: int(f.optNum("nEntries")),
+			Units: f.optNum("costUnits"), ClientRetry: f.flag("isRetry")}
 		return func(g *policy.Gateway) { g.Request(h.now, r) }, f.err
 	},
 	"FLOWING": func(h *host, i int) (func(*policy.Gateway), error) {
 		f := fields{l: &h.line}
 		id, n := f.text("id"), f.num("hop")
-		return func(g *policy.Gateway) { g.Started(h.now, id, n) }, f.err
+		return func(g *policy.Gateway) { g.StreamStarted(h.now, id, n) }, f.err
 	},
 	"VERDICT": func(h *host, i int) (func(*policy.Gateway), error) {
 		f := fields{l: &h.line}
 		o := policy.Outcome{ID: f.text("id"), Server: f.text("backend"), Attempt: f.num("hop"), Status: f.status(),
-			Over: f.flag("terminal"), SpentS: f.optNum("spentS"), Units: f.optNum("actual"), Load: f.load()}
+			RequestEnded: f.flag("terminal"), ElapsedS: f.optNum("spentS"), Units: f.optNum("actual"), Load: f.load()}
 		return func(g *policy.Gateway) { g.Outcome(h.now, o) }, f.err
 	},
 	"HANGUP": func(h *host, i int) (func(*policy.Gateway), error) {
 		id, err := h.line.Text("id")
-		return func(g *policy.Gateway) { g.Gone(h.now, id) }, err
+		return func(g *policy.Gateway) { g.RequestAbandoned(h.now, id) }, err
 	},
 	"ALARM": func(h *host, i int) (func(*policy.Gateway), error) {
 		token, err := h.line.Uint("mark")
@@ -311,8 +311,8 @@
 	},
 	"CHECK_RESULT": func(h *host, i int) (func(*policy.Gateway), error) {
 		f := fields{l: &h.line}
-		p := policy.ProbeResult{Server: f.text("backend"), Status: f.status(), SpentS: f.optNum("spentS"), Load: f.load()}
-		return func(g *policy.Gateway) { g.Probed(h.now, p) }, f.err
+		p := policy.ProbeResult{Server: f.text("backend"), Status: f.status(), ElapsedS: f.optNum("spentS"), Load: f.load()}
+		return func(g *policy.Gateway) { g.ProbeEnded(h.now, p) }, f.err
 	},
 	"DATAGRAM": func(h *host, i int) (func(*policy.Gateway), error) {
 		from, err := h.line.Int("sender")
@@ -320,7 +320,7 @@
 			return nil, err
 		}
 		data, err := h.line.Hex("data")
-		return func(g *policy.Gateway) { g.Peer(h.now, from, data) }, err
+		return func(g *policy.Gateway) { g.PeerMessage(h.now, from, data) }, err
 	},
 	"TALLY_BACK": func(*host, int) (func(*policy.Gateway), error) { return nil, nil },
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -182,7 +182,7 @@
 		known = append(known, sexp.Field{Name: name, Required: name == "ingress" || name == "classes" || name == "plans",
 			Read: func(_ *sexp.Reader, node *sexp.Node) { found[name] = node }})
 	}
-	reader.ReadFields(top, "file", file.Forms, known)
+	reader.Fields(top, "file", file.Forms, known)
 	for _, name := range order {
 		if node := found[name]; node != nil && reader.Err == nil {
 			cfg.readSection(reader, name, node)
@@ -197,40 +197,40 @@
 func (cfg *Config) readSection(reader *sexp.Reader, name string, node *sexp.Node) {
 	switch name {
 	case "ingress":
-		reader.ReadFields(node, name, node.Args(), []sexp.Field{
-			sexp.IntField("me", true, &cfg.Self, 0, 1023), sexp.TextField("zone", true, &cfg.Zone),
+		reader.Fields(node, name, node.Args(), []sexp.Field{
+			sexp.IntField("me", true, &cfg.Self, 0, 1023), sexp.NameField("zone", true, &cfg.Zone),
 			addressField("listen", true, &cfg.Listen),
 			sexp.IntField("loops", false, &cfg.EventLoops, 1, 64),
-			sexp.TimeField("drain", false, &cfg.DrainTimeout, 0, 5*time.Minute)})
+			sexp.DurationField("drain", false, &cfg.DrainTimeout, 0, 5*time.Minute)})
 	case "instances":
-		reader.ReadFields(node, name, node.Args(), []sexp.Field{{Name: "instance", Required: true, Repeated: true,
+		reader.Fields(node, name, node.Args(), []sexp.Field{{Name: "instance", Required: true, Repeatable: true,
 			Read: cfg.readInstance}, {Name: "key", Read: cfg.readPeerKey}})
 	case "classes":
-		reader.ReadFields(node, name, node.Args(), []sexp.Field{{Name: "class", Required: true, Repeated: true, Read: cfg.readClass}})
+		reader.Fields(node, name, node.Args(), []sexp.Field{{Name: "class", Required: true, Repeatable: true, Read: cfg.readClass}})
 	case "plans":
-		reader.ReadFields(node, name, node.Args(), []sexp.Field{{Name: "plan", Required: true, Repeated: true, Read: cfg.readPlan}})
+		reader.Fields(node, name, node.Args(), []sexp.Field{{Name: "plan", Required: true, Repeatable: true, Read: cfg.readPlan}})
 	case "rules":
-		reader.ReadFields(node, name, node.Args(), []sexp.Field{
+		reader.Fields(node, name, node.Args(), []sexp.Field{
 			sexp.SecondsField("answer-slack", false, &cfg.Rules.AnswerSlackS, 0, time.Second),
 			sexp.NumberField("cold-from", false, &cfg.Rules.ColdStartShare, 0, 1),
 			sexp.SecondsField("cold", false, &cfg.Rules.ColdPeriodS, 0, time.Hour),
 			sexp.NumberField("fall-multiple", false, &cfg.Rules.OverloadMultiple, 1, 100),
 			sexp.SecondsField("fall", false, &cfg.Rules.OverloadWindowS, 0, time.Minute)})
 	case "front":
-		reader.ReadFields(node, name, node.Args(), []sexp.Field{
+		reader.Fields(node, name, node.Args(), []sexp.Field{
 			sexp.IntField("connections", false, &cfg.Front.MaxConnections, 1, 1<<20),
 			sexp.IntField("bulk", false, &cfg.Front.MaxArgumentBytes, 64, 64<<20),
 			sexp.IntField("pipeline", false, &cfg.Front.MaxPipelined, 1, 1<<16),
 			sexp.IntField("output", false, &cfg.Front.MaxUnreadBytes, 1<<10, 1<<30),
 			sexp.IntField("input", false, &cfg.Front.MaxInputBytes, 1<<20, 1<<34),
-			sexp.TimeField("partial", false, &cfg.Front.PartialTimeout, 100*time.Millisecond, time.Hour)})
+			sexp.DurationField("partial", false, &cfg.Front.PartialTimeout, 100*time.Millisecond, time.Hour)})
 	case "backend":
 		loads := []string{"probe", "answer", "none"}
 		yes := 1
-		reader.ReadFields(node, name, node.Args(), []sexp.Field{
+		reader.Fields(node, name, node.Args(), []sexp.Field{
 			sexp.IntField("connections", false, &cfg.Backend.MaxConnections, 1, 1024),
 			sexp.IntField("pipeline", false, &cfg.Backend.MaxPipelined, 1, 1024),
-			sexp.TimeField("connect", false, &cfg.Backend.ConnectTimeout, time.Millisecond, time.Minute),
+			sexp.DurationField("connect", false, &cfg.Backend.ConnectTimeout, time.Millisecond, time.Minute),
 			sexp.ChoiceField("load", false, &cfg.Backend.LoadSource, loads, loads),
 			sexp.IntField("attempts", false, &cfg.Backend.MaxAttempts, 1, 16),
 			sexp.ChoiceField("parallel", false, &yes, []string{"yes", "no"}, []int{1, 0})})
@@ -238,24 +238,24 @@
 	case "grpc":
 		cfg.readGRPC(reader, node)
 	case "boxes":
-		reader.ReadFields(node, name, node.Args(), []sexp.Field{{Name: "box", Required: true, Repeated: true, Read: cfg.readServer}})
+		reader.Fields(node, name, node.Args(), []sexp.Field{{Name: "box", Required: true, Repeatable: true, Read: cfg.readServer}})
 	case "discovery":
 		discovery := &Discovery{}
-		reader.ReadFields(node, name, node.Args(), []sexp.Field{{Name: "server", Required: true, Repeated: true,
+		reader.Fields(node, name, node.Args(), []sexp.Field{{Name: "server", Required: true, Repeatable: true,
 			Read: func(reader *sexp.Reader, node *sexp.Node) {
-				discovery.Servers = append(discovery.Servers, readAddress(reader, reader.SingleArgument(node, "ADDRESS"), "server"))
-			}}, sexp.TextField("cluster", true, &discovery.Cluster), sexp.TextField("keep", false, &discovery.CachePath)})
+				discovery.Servers = append(discovery.Servers, readAddress(reader, reader.SingleArg(node, "ADDRESS"), "server"))
+			}}, sexp.NameField("cluster", true, &discovery.Cluster), sexp.NameField("keep", false, &discovery.CachePath)})
 		cfg.Discovery = discovery
 	case "commands":
-		reader.ReadFields(node, name, node.Args(), []sexp.Field{{Name: "command", Repeated: true, Read: cfg.readCommand},
+		reader.Fields(node, name, node.Args(), []sexp.Field{{Name: "command", Repeatable: true, Read: cfg.readCommand},
 			{Name: "throttle", Read: func(reader *sexp.Reader, node *sexp.Node) {
-				reader.ReadFields(node, "throttle", node.Args(), []sexp.Field{{Name: "class", Required: true,
+				reader.Fields(node, "throttle", node.Args(), []sexp.Field{{Name: "class", Required: true,
 					Read: func(reader *sexp.Reader, node *sexp.Node) {
-						cfg.ThrottleClass = cfg.classIndex(reader, reader.SingleArgument(node, "CLASS"))
+						cfg.ThrottleClass = cfg.classIndex(reader, reader.SingleArg(node, "CLASS"))
 					}}})
 			}}})
 	case "clients":
-		reader.ReadFields(node, name, node.Args(), []sexp.Field{{Name: "client", Required: true, Repeated: true,
+		reader.Fields(node, name, node.Args(), []sexp.Field{{Name: "client", Required: true, Repeatable: true,
 			Read: cfg.clientReader()}})
 	}
 }
@@ -272,7 +272,7 @@
 // addressField is a field that holds an address of the form host:port.
 func addressField(name string, required bool, to *string) sexp.Field {
 	return sexp.Field{Name: name, Required: required,
-		Read: func(r *sexp.Reader, n *sexp.Node) { *to = readAddress(r, r.SingleArgument(n, "ADDRESS"), name) }}
+		Read: func(r *sexp.Reader, n *sexp.Node) { *to = readAddress(r, r.SingleArg(n, "ADDRESS"), name) }}
 }
 
 func (cfg *Config) readInstance(reader *sexp.Reader, node *sexp.Node) {
@@ -281,7 +281,7 @@
 		reader.Fail(node, "instance", "holds %d values, want (instance NUMBER PEER-ADDRESS)", len(args))
 		return
 	}
-	instance := Instance{reader.Integer(args[0], "instance", 0, 1023), readAddress(reader, args[1], "instance")}
+	instance := Instance{reader.Int(args[0], "instance", 0, 1023), readAddress(reader, args[1], "instance")}
 	if instance.Number != len(cfg.Instances) {
 		reader.Fail(args[0], "instance", "number %d, want %d: instances are numbered from 0, in order",
 			instance.Number, len(cfg.Instances))
@@ -290,7 +290,7 @@
 }
 
 func (cfg *Config) readPeerKey(reader *sexp.Reader, node *sexp.Node) {
-	arg := reader.SingleArgument(node, "HEX")
+	arg := reader.SingleArg(node, "HEX")
 	key, err := hex.DecodeString(strings.TrimSpace(reader.Name(arg, "key")))
 	if reader.Err == nil && (err != nil || len(key) != 32) {
 		reader.Fail(arg, "key", "want 64 hex digits, as `openssl rand -hex 32` prints them")
@@ -299,19 +299,19 @@
 }
 
 func (cfg *Config) readClass(reader *sexp.Reader, node *sexp.Node) {
-	class := policy.Class{Worth: 1}
-	name, rest := reader.NameAndRest(node)
+	class := policy.Class{Value: 1}
+	name, rest := reader.NameAndArgs(node)
 	class.Name = name
-	reader.ReadFields(node, "class "+name, rest, []sexp.Field{
-		sexp.SecondsField("aim", true, &class.AimS, time.Millisecond, time.Hour),
+	reader.Fields(node, "class "+name, rest, []sexp.Field{
+		sexp.SecondsField("aim", true, &class.TargetLatencyS, time.Millisecond, time.Hour),
 		sexp.SecondsField("deadline", true, &class.DeadlineS, time.Millisecond, time.Hour),
-		sexp.NumberField("worth", false, &class.Worth, 0, 1e6), sexp.NumberField("late-worth", false, &class.LateWorth, 0, 1),
+		sexp.NumberField("worth", false, &class.Value, 0, 1e6), sexp.NumberField("late-worth", false, &class.LateValueShare, 0, 1),
 		sexp.ChoiceField("effect", true, &class.Effect, []string{"safe", "keyed", "unsafe"},
 			[]policy.Effect{policy.Safe, policy.Keyed, policy.Unsafe}),
 		sexp.ChoiceField("key-scope", false, &class.KeyScope, []string{"all", "zone", "cell"},
-			[]policy.Scope{policy.ScopeAll, policy.ScopeZone, policy.ScopeCell}),
+			[]policy.KeyScope{policy.ScopeAll, policy.ScopeZone, policy.ScopeCell}),
 		sexp.SecondsField("key-ttl", false, &class.KeyTTLS, 0, time.Hour)})
-	if class.AimS > class.DeadlineS {
+	if class.TargetLatencyS > class.DeadlineS {
 		reader.Fail(node, "class "+name+" aim", "is after the deadline, want it no later")
 	}
 	if (class.Effect == policy.Keyed) != (class.KeyTTLS > 0) {
@@ -326,17 +326,17 @@
 }
 
 func (cfg *Config) readPlan(reader *sexp.Reader, node *sexp.Node) {
-	plan := policy.Plan{Price: 1, ExcessCost: 1}
-	name, rest := reader.NameAndRest(node)
+	plan := policy.Plan{ValueFactor: 1, ExcessCostShare: 1}
+	name, rest := reader.NameAndArgs(node)
 	plan.Name = name
 	where := "plan " + name
-	reader.ReadFields(node, where, rest, []sexp.Field{
+	reader.Fields(node, where, rest, []sexp.Field{
 		sexp.NumberField("rate", false, &plan.Rate, 0.001, maxRate), sexp.NumberField("burst", false, &plan.Burst, 1, maxBurst),
-		sexp.IntField("parallel", false, &plan.Parallel, 1, 65000), sexp.NumberField("price", false, &plan.Price, 0, 1e6),
-		sexp.NumberField("excess-cost", false, &plan.ExcessCost, 0, 100),
-		sexp.NumberField("extra-worth", false, &plan.ExtraWorth, 0, 1),
+		sexp.IntField("parallel", false, &plan.MaxParallel, 1, 65000), sexp.NumberField("price", false, &plan.ValueFactor, 0, 1e6),
+		sexp.NumberField("excess-cost", false, &plan.ExcessCostShare, 0, 100),
+		sexp.NumberField("extra-worth", false, &plan.ExtraValueShare, 0, 1),
 		{Name: "ceiling", Read: func(reader *sexp.Reader, node *sexp.Node) {
-			reader.ReadFields(node, where+" ceiling", node.Args(), []sexp.Field{
+			reader.Fields(node, where+" ceiling", node.Args(), []sexp.Field{
 				sexp.NumberField("rate", true, &plan.CeilingRate, 0.001, maxRate),
 				sexp.NumberField("burst", true, &plan.CeilingBurst, 1, maxBurst),
 				sexp.NumberField("slack", false, &plan.CeilingSlack, 0, maxBurst)})
@@ -366,10 +366,10 @@
 	}
 	server.ID = readAddress(reader, node.Args()[0], "box")
 	where := "box " + server.ID
-	reader.ReadFields(node, where, node.Args()[1:], []sexp.Field{sexp.TextField("zone", true, &server.Zone),
+	reader.Fields(node, where, node.Args()[1:], []sexp.Field{sexp.NameField("zone", true, &server.Zone),
 		sexp.IntField("cell", false, &server.Cell, 0, 1<<20),
 		sexp.NumberField("weight", false, &server.Weight, 0.001, 1e6),
-		sexp.ChoiceField("state", false, &server.State, []string{"up", "draining"}, []policy.State{policy.Up, policy.Draining})})
+		sexp.ChoiceField("state", false, &server.State, []string{"up", "draining"}, []policy.ServerState{policy.Up, policy.Draining})})
 	for _, other := range cfg.Servers {
 		if other.ID == server.ID {
 			reader.Fail(node, where, "given twice, want each address once")
@@ -404,12 +404,12 @@
 
 func (cfg *Config) readCommand(reader *sexp.Reader, node *sexp.Node) {
 	command := Command{Units: 1, Class: -1}
-	name, rest := reader.NameAndRest(node)
+	name, rest := reader.NameAndArgs(node)
 	command.Name = strings.ToUpper(name)
 	where := "command " + name
-	reader.ReadFields(node, where, rest, []sexp.Field{
+	reader.Fields(node, where, rest, []sexp.Field{
 		{Name: "class", Required: true,
-			Read: func(r *sexp.Reader, n *sexp.Node) { command.Class = cfg.classIndex(r, r.SingleArgument(n, "CLASS")) }},
+			Read: func(r *sexp.Reader, n *sexp.Node) { command.Class = cfg.classIndex(r, r.SingleArg(n, "CLASS")) }},
 		sexp.IntField("arity", true, &command.Arity, -64, 64), sexp.IntField("units", false, &command.Units, 1, maxUnits),
 		sexp.IntField("units-at", false, &command.UnitsIndex, 1, 63), sexp.IntField("key-at", false, &command.KeyIndex, 1, 63)})
 	minWords := max(command.Arity, -command.Arity)
@@ -435,12 +435,12 @@
 	seen := map[string]bool{}
 	return func(reader *sexp.Reader, node *sexp.Node) {
 		client := Client{Plan: -1}
-		name, rest := reader.NameAndRest(node)
+		name, rest := reader.NameAndArgs(node)
 		client.Name = name
 		where := "client " + name
-		reader.ReadFields(node, where, rest, []sexp.Field{
+		reader.Fields(node, where, rest, []sexp.Field{
 			{Name: "plan", Required: true,
-				Read: func(r *sexp.Reader, n *sexp.Node) { client.Plan = cfg.planIndex(r, r.SingleArgument(n, "PLAN")) }},
+				Read: func(r *sexp.Reader, n *sexp.Node) { client.Plan = cfg.planIndex(r, r.SingleArg(n, "PLAN")) }},
 			{Name: "secret-sha256", Required: true,
 				Read: func(r *sexp.Reader, n *sexp.Node) { client.SecretHash = readSecretHash(r, n) }}})
 		if seen[name] {
@@ -456,18 +456,18 @@
 
 func (cfg *Config) readGRPC(reader *sexp.Reader, node *sexp.Node) {
 	grpc := &GRPC{MaxConnections: 10000, MaxStreams: 1000, MaxStreamRequests: 256, MaxMessageBytes: 1 << 20}
-	reader.ReadFields(node, "grpc", node.Args(), []sexp.Field{
+	reader.Fields(node, "grpc", node.Args(), []sexp.Field{
 		addressField("listen", true, &grpc.Listen),
 		sexp.IntField("connections", false, &grpc.MaxConnections, 1, 1<<20),
 		sexp.IntField("streams", false, &grpc.MaxStreams, 1, 1<<20), sexp.IntField("ahead", false, &grpc.MaxStreamRequests, 1, 1<<16),
 		sexp.IntField("message", false, &grpc.MaxMessageBytes, 1<<10, 64<<20),
 		{Name: "tls", Read: func(reader *sexp.Reader, node *sexp.Node) {
-			reader.ReadFields(node, "grpc tls", node.Args(), []sexp.Field{sexp.TextField("certificate", true, &grpc.CertificateFile),
-				sexp.TextField("key", true, &grpc.KeyFile), sexp.TextField("clients", false, &grpc.ClientCAFile)})
+			reader.Fields(node, "grpc tls", node.Args(), []sexp.Field{sexp.NameField("certificate", true, &grpc.CertificateFile),
+				sexp.NameField("key", true, &grpc.KeyFile), sexp.NameField("clients", false, &grpc.ClientCAFile)})
 		}},
-		{Name: "domain", Repeated: true, Read: func(reader *sexp.Reader, node *sexp.Node) {
+		{Name: "domain", Repeatable: true, Read: func(reader *sexp.Reader, node *sexp.Node) {
 			domain := Domain{}
-			name, rest := reader.NameAndRest(node)
+			name, rest := reader.NameAndArgs(node)
 			domain.Name = name
 			where := "domain " + name
 			for _, other := range grpc.Domains {
@@ -475,11 +475,11 @@
 					reader.Fail(node, where, "given twice, want each name once")
 				}
 			}
-			reader.ReadFields(node, where, rest, []sexp.Field{
+			reader.Fields(node, where, rest, []sexp.Field{
 				{Name: "secret-sha256", Required: true,
 					Read: func(r *sexp.Reader, n *sexp.Node) { domain.SecretHash = readSecretHash(r, n) }},
 				sexp.ChoiceField("unmatched", true, &domain.AllowUnmatched, []string{"allow", "refuse"}, []bool{true, false}),
-				{Name: "descriptor", Required: true, Repeated: true, Read: func(reader *sexp.Reader, node *sexp.Node) {
+				{Name: "descriptor", Required: true, Repeatable: true, Read: func(reader *sexp.Reader, node *sexp.Node) {
 					domain.Descriptors = append(domain.Descriptors, cfg.readDescriptor(reader, node, where))
 				}}})
 			grpc.Domains = append(grpc.Domains, domain)
@@ -489,11 +489,11 @@
 
 func (cfg *Config) readDescriptor(reader *sexp.Reader, node *sexp.Node, where string) Descriptor {
 	descriptor := Descriptor{Units: 1}
-	reader.ReadFields(node, where+" descriptor", node.Args(), []sexp.Field{
-		sexp.TextField("customer", true, &descriptor.CustomerKey), sexp.IntField("units", false, &descriptor.Units, 1, maxUnits),
+	reader.Fields(node, where+" descriptor", node.Args(), []sexp.Field{
+		sexp.NameField("customer", true, &descriptor.CustomerKey), sexp.IntField("units", false, &descriptor.Units, 1, maxUnits),
 		{Name: "class", Required: true,
-			Read: func(r *sexp.Reader, n *sexp.Node) { descriptor.Class = cfg.classIndex(r, r.SingleArgument(n, "CLASS")) }},
-		{Name: "entry", Repeated: true, Read: func(reader *sexp.Reader, node *sexp.Node) {
+			Read: func(r *sexp.Reader, n *sexp.Node) { descriptor.Class = cfg.classIndex(r, r.SingleArg(n, "CLASS")) }},
+		{Name: "entry", Repeatable: true, Read: func(reader *sexp.Reader, node *sexp.Node) {
 			args := node.Args()
 			if len(args) != 1 && len(args) != 2 {
 				reader.Fail(node, "entry", "holds %d values, want (entry KEY) or (entry KEY VALUE)", len(args))
@@ -510,7 +510,7 @@
 
 // readSecretHash reads the hash of a secret as hex digits.
 func readSecretHash(reader *sexp.Reader, node *sexp.Node) (to [sha256.Size]byte) {
-	arg := reader.SingleArgument(node, "HEX")
+	arg := reader.SingleArg(node, "HEX")
 	sum, err := hex.DecodeString(reader.Name(arg, node.Head()))
 	if reader.Err == nil && (err != nil || len(sum) != sha256.Size) {
 		reader.Fail(arg, node.Head(), "want 64 hex digits, as `cometpond secret` prints them")
@@ -539,7 +539,7 @@
 		// low-value work.
 		cfg.ThrottleClass = 0
 		for i, class := range cfg.Classes {
-			if class.Worth > cfg.Classes[cfg.ThrottleClass].Worth {
+			if class.Value > cfg.Classes[cfg.ThrottleClass].Value {
 				cfg.ThrottleClass = i
 			}
 		}
@@ -557,12 +557,12 @@
 	}
 	gateways := max(1, len(cfg.Instances))
 	return policy.Settings{
-		Me: cfg.Self, Gateways: gateways, Zone: cfg.Zone, Classes: cfg.Classes, Plans: cfg.Plans, MaxUnits: maxRequestUnits,
-		PeerIntake: 0, Peers: gateways > 1, Probes: true, Cancel: true, Parallel: cfg.Backend.ParallelAttempts, RetryAfter: true,
+		Self: cfg.Self, Gateways: gateways, Zone: cfg.Zone, Classes: cfg.Classes, Plans: cfg.Plans, MaxUnits: maxRequestUnits,
+		PeerMessagesPerS: 0, PeerMessages: gateways > 1, Probes: true, Cancel: true, ParallelAttempts: cfg.Backend.ParallelAttempts, RetryAfter: true,
 		MaxAttempts: cfg.Backend.MaxAttempts, MaxRetryAfterS: 0.5,
-		ReportByProbe: cfg.Backend.LoadSource == "probe", ReportByAnswer: cfg.Backend.LoadSource == "answer",
-		AnswerSlackS: cfg.Rules.AnswerSlackS, ColdFrom: cfg.Rules.ColdStartShare, ColdS: cfg.Rules.ColdPeriodS,
-		FallMultiple: cfg.Rules.OverloadMultiple, FallS: cfg.Rules.OverloadWindowS, TickS: 0.0005,
+		LoadFromProbes: cfg.Backend.LoadSource == "probe", LoadFromAnswers: cfg.Backend.LoadSource == "answer",
+		AnswerSlackS: cfg.Rules.AnswerSlackS, ColdStartShare: cfg.Rules.ColdStartShare, ColdPeriodS: cfg.Rules.ColdPeriodS,
+		OverloadMultiple: cfg.Rules.OverloadMultiple, OverloadWindowS: cfg.Rules.OverloadWindowS, TickS: 0.0005,
 	}
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -23,7 +23,7 @@
 	if class := cfg.Classes[2]; class.Effect != policy.Keyed || class.KeyScope != policy.ScopeZone || class.KeyTTLS != 7.5 {
 		t.Fatalf("%+v", class)
 	}
-	if settings := cfg.Settings(); settings.Gateways != 1 || settings.Peers || settings.MaxUnits != 1 || len(settings.Classes) != 3 {
+	if settings := cfg.Settings(); settings.Gateways != 1 || settings.PeerMessages || settings.MaxUnits != 1 || len(settings.Classes) != 3 {
 		t.Fatalf("%+v", settings)
 	}
 }
@@ -86,7 +86,7 @@
 		t.Errorf("missing key: %v", err)
 	}
 	cfg, err := Parse("f", strings.Replace(fleet, "KEY", `(key "`+strings.Repeat("ab", 32)+`")`, 1))
-	if err != nil || !cfg.Settings().Peers || cfg.Settings().Gateways != 2 || len(cfg.PeerKey) != 32 {
+	if err != nil || !cfg.Settings().PeerMessages || cfg.Settings().Gateways != 2 || len(cfg.PeerKey) != 32 {
 		t.Errorf("%v %+v", err, cfg)
 	}
 	if _, err := Parse("f", strings.Replace(fleet, "(instance 1", "(instance 2", 1)); err == nil ||
--- a/internal/discovery/assignment.go
+++ b/internal/discovery/assignment.go
@@ -77,7 +77,7 @@
 		case "cell":
 			server.Cell = int(number.NumberValue)
 		case "started":
-			server.SinceS = number.NumberValue
+			server.StartedAt = number.NumberValue
 		}
 	}
 	return server, nil
@@ -110,7 +110,7 @@
 		if server.State == policy.Draining {
 			health = corev3.HealthStatus_DRAINING
 		}
-		metadata, err := structpb.NewStruct(map[string]any{"cell": float64(server.Cell), "started": server.SinceS})
+		metadata, err := structpb.NewStruct(map[string]any{"cell": float64(server.Cell), "started": server.StartedAt})
 		if err != nil {
 			return nil, fmt.Errorf("server %s: %w", server.ID, err)
 		}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -26,7 +26,7 @@
 // Sink receives lists of servers. The channel that Servers returns is closed once the list is in force; only then is the
 // list acknowledged. whole says that the list replaces the previous one.
 type Sink interface {
-	Servers(list []policy.Server, whole bool) <-chan struct{}
+	UpdateServers(list []policy.Server, whole bool) <-chan struct{}
 }
 
 // Client follows the list of servers.
@@ -100,7 +100,7 @@
 	client.log.Info().Str("version", version).Int("boxes", len(list)).Dur("age", time.Since(storedAt)).
 		Msg("starting with the list stored on disk")
 	client.updateStatus(func(status *Status) { status.Version, status.Servers = version, len(list) })
-	return waitInForce(ctx, client.sink.Servers(list, true))
+	return waitInForce(ctx, client.sink.UpdateServers(list, true))
 }
 
 // waitInForce waits until a list is in force or ctx is done.
@@ -186,7 +186,7 @@
 			request.ErrorDetail = &statuspb.Status{Code: 3, Message: err.Error()} // INVALID_ARGUMENT
 		} else {
 			// The list must be in force first: the discovery server counts drains from the acknowledgement.
-			if err := waitInForce(ctx, client.sink.Servers(list, true)); err != nil {
+			if err := waitInForce(ctx, client.sink.UpdateServers(list, true)); err != nil {
 				return received, err
 			}
 			received, version = true, response.GetVersionInfo()
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -29,7 +29,7 @@
 	inForce chan struct{} // closed by the test; nil: lists are in force at once
 }
 
-func (s *sink) Servers(list []policy.Server, whole bool) <-chan struct{} {
+func (s *sink) UpdateServers(list []policy.Server, whole bool) <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lists = append(s.lists, list)
@@ -100,8 +100,8 @@
 // temporary file remains.
 func TestListIsStoredOnceDiskRecovers(t *testing.T) {
 	for _, fault := range []faults.Fault{
-		{Call: faults.Write, On: "list.json", Errno: unix.ENOSPC}, {Call: faults.Fsync, On: "list.json", Errno: unix.EIO},
-		{Call: faults.Open, On: "list.json", Errno: unix.ENFILE}, {Call: faults.Rename, Errno: unix.EIO},
+		{Call: faults.Write, Target: "list.json", Errno: unix.ENOSPC}, {Call: faults.Fsync, Target: "list.json", Errno: unix.EIO},
+		{Call: faults.Open, Target: "list.json", Errno: unix.ENFILE}, {Call: faults.Rename, Errno: unix.EIO},
 	} {
 		server, err := standin.NewEDS("127.0.0.1:0", "boxes", list)
 		if err != nil {
@@ -109,9 +109,9 @@
 		}
 		defer server.Close()
 		path := filepath.Join(t.TempDir(), "list.json")
-		fault.Share = 1
+		fault.Probability = 1
 		injector, _, _ := startChild(t, server.Addr(), path, []faults.Call{fault.Call}, fault)
-		waitFor(t, func() bool { return len(server.Told()) == 1 && injector.Counts()[fault.Call] > 0 })
+		waitFor(t, func() bool { return len(server.Acknowledgements()) == 1 && injector.Counts()[fault.Call] > 0 })
 		if _, err := os.Stat(path); err == nil {
 			t.Fatalf("the list was stored although %s fails: the fault was not injected", fault.Call)
 		}
@@ -132,9 +132,9 @@
 	}
 	defer server.Close()
 	follow(t, server, &sink{}, path)
-	waitFor(t, func() bool { return len(server.Told()) == 1 })
+	waitFor(t, func() bool { return len(server.Acknowledgements()) == 1 })
 	for _, fault := range []faults.Fault{{Call: faults.Open, Errno: unix.ENFILE}, {Call: faults.Open, Errno: unix.EIO}, {Call: faults.Read, Errno: unix.EIO}} {
-		fault.On, fault.Share, fault.Burst, fault.Pause = "list.json", 1, 300*time.Millisecond, time.Hour
+		fault.Target, fault.Probability, fault.Burst, fault.Pause = "list.json", 1, 300*time.Millisecond, time.Hour
 		injector, cmd, out := startChild(t, "restore", path, []faults.Call{fault.Call}, fault)
 		if err := cmd.Wait(); err != nil {
 			t.Fatal(err)
@@ -164,7 +164,7 @@
 	}
 }
 
-var list = []policy.Server{{ID: "127.0.0.1:1", Zone: "a", Cell: 1, Weight: 2, SinceS: 1700000000.5},
+var list = []policy.Server{{ID: "127.0.0.1:1", Zone: "a", Cell: 1, Weight: 2, StartedAt: 1700000000.5},
 	{ID: "127.0.0.1:2", Zone: "b", Weight: 1, State: policy.Draining}}
 
 func follow(t *testing.T, server *standin.EDS, s *sink, path string) *discovery.Client {
@@ -193,12 +193,12 @@
 		t.Fatalf("%+v, want %+v", got, list)
 	}
 	time.Sleep(50 * time.Millisecond)
-	if n := len(server.Told()); n != 0 {
+	if n := len(server.Acknowledgements()); n != 0 {
 		t.Fatalf("%d acknowledgements before the list was in force", n)
 	}
 	close(s.inForce)
-	waitFor(t, func() bool { return len(server.Told()) == 1 })
-	if a := server.Told()[0]; a.Node != "me" || a.Version != 1 || a.Error != "" || !client.Status().Connected {
+	waitFor(t, func() bool { return len(server.Acknowledgements()) == 1 })
+	if a := server.Acknowledgements()[0]; a.Node != "me" || a.Version != 1 || a.Error != "" || !client.Status().Connected {
 		t.Fatalf("%+v", a)
 	}
 }
@@ -212,17 +212,17 @@
 	defer server.Close()
 	s := &sink{}
 	client := follow(t, server, s, "")
-	waitFor(t, func() bool { return len(server.Told()) == 1 })
+	waitFor(t, func() bool { return len(server.Acknowledgements()) == 1 })
 	server.Set([]policy.Server{{ID: "127.0.0.1:3"}}) // no zone
-	waitFor(t, func() bool { return len(server.Told()) == 2 })
-	if a := server.Told()[1]; a.Version != 1 || !strings.Contains(a.Error, "no zone") {
+	waitFor(t, func() bool { return len(server.Acknowledgements()) == 2 })
+	if a := server.Acknowledgements()[1]; a.Version != 1 || !strings.Contains(a.Error, "no zone") {
 		t.Fatalf("%+v", a)
 	}
 	if len(s.last()) != 2 || client.Status().RejectedLists != 1 {
 		t.Fatalf("%+v, %+v", s.last(), client.Status())
 	}
 	server.Set(list[:1])
-	waitFor(t, func() bool { return len(server.Told()) == 3 && len(s.last()) == 1 })
+	waitFor(t, func() bool { return len(server.Acknowledgements()) == 3 && len(s.last()) == 1 })
 }
 
 // The last list is stored and restored at a start without a discovery server. A damaged file is an error and yields no
@@ -235,7 +235,7 @@
 	}
 	s := &sink{}
 	follow(t, server, s, path)
-	waitFor(t, func() bool { return len(server.Told()) == 1 })
+	waitFor(t, func() bool { return len(server.Acknowledgements()) == 1 })
 	server.Close()
 	again := &sink{}
 	client := discovery.NewClient(config.Discovery{Servers: []string{"127.0.0.1:9"}, Cluster: "boxes", CachePath: path}, "me", again, zerolog.Nop())
--- a/internal/edge/plan/plan_test.go
+++ b/internal/edge/plan/plan_test.go
@@ -40,12 +40,12 @@
 
 func TestLinks(t *testing.T) {
 	b := NewBudget(Machine{1, 64, 384}, 0, 64<<10)
-	set := terms.Terms{ConnIdleS: 15, DialTimeoutS: 0.25, Multiplex: 100}
+	set := terms.Settings{ConnIdleS: 15, DialTimeoutS: 0.25, Multiplex: 100}
 	l, openS := Links(set, b)
 	if l.Pipeline != 1 || l.IdleTimeoutS >= 15 || l.IdleTimeoutS < 5 || openS != 0.25 {
 		t.Errorf("two attempts may not be out at once: %+v, %v s to open", l, openS)
 	}
-	set.Parallel, set.DialTimeoutS = true, 0
+	set.ParallelAttempts, set.DialTimeoutS = true, 0
 	if l, openS = Links(set, b); l.Pipeline < 2 || l.Pipeline > 100 || openS <= 0 {
 		t.Errorf("they may: %+v, %v s to open", l, openS)
 	}
--- a/internal/front/bounds_test.go
+++ b/internal/front/bounds_test.go
@@ -34,7 +34,7 @@
 	if err := <-sent; err != nil {
 		t.Fatal(err)
 	}
-	if c := srv.Counts(); c.Parked == 0 || c.Cut != 0 || c.Input.Held != 0 {
+	if c := srv.Counts(); c.ReadsPaused == 0 || c.Terminated != 0 || c.Input.GrantedBytes != 0 {
 		t.Errorf("%+v: want it parked, not cut", c)
 	}
 }
@@ -46,7 +46,7 @@
 	go func() {
 		_, _ = io.WriteString(k, strings.Repeat("JOB.STATUS hold\r\n", 30)+strings.Repeat("ECHO "+strings.Repeat("y", 1000)+"\r\n", 200))
 	}()
-	wait(t, func() bool { return srv.Counts().Parked == 1 })
+	wait(t, func() bool { return srv.Counts().ReadsPaused == 1 })
 	for range 30 {
 		give(<-s.held, core.Answer{Payload: []byte("+ok\r\n")})
 	}
@@ -61,10 +61,10 @@
 		k := connect(t, addr, true)
 		k.send(strings.Repeat("JOB.STATUS hold\r\n", 10) + strings.Repeat("ECHO "+strings.Repeat("y", 1000)+"\r\n", 50))
 	}
-	wait(t, func() bool { return srv.Counts().Parked == 2 })
+	wait(t, func() bool { return srv.Counts().ReadsPaused == 2 })
 	k := connect(t, addr, true)
 	k.send(strings.Repeat("JOB.STATUS hold\r\n", 10) + strings.Repeat("ECHO "+strings.Repeat("y", 1000)+"\r\n", 50))
-	wait(t, func() bool { return srv.Counts().Parked == 3 })
+	wait(t, func() bool { return srv.Counts().ReadsPaused == 3 })
 	k.Close()
 	for range 30 {
 		c := <-s.held
@@ -91,8 +91,8 @@
 		time.Sleep(time.Millisecond)
 		k.expect("", want)
 	}
-	if c := srv.Counts(); c.Cut != 0 {
-		t.Errorf("%d cut", c.Cut)
+	if c := srv.Counts(); c.Terminated != 0 {
+		t.Errorf("%d cut", c.Terminated)
 	}
 }
 
@@ -112,13 +112,13 @@
 		k.send(in)
 		k.ended(want)
 	}
-	cut := srv.Counts().Cut
+	cut := srv.Counts().Terminated
 	half := "*2\r\n$4\r\nECHO\r\n$16000\r\n" + strings.Repeat("x", 8000)
 	for range 60 { // 480 kB, where strangers may hold 256 kB
 		connect(t, addr, false).send(half)
 	}
-	wait(t, func() bool { return srv.Counts().Cut > cut })
-	if c := srv.Counts(); c.Input.Strangers > 256<<10 {
+	wait(t, func() bool { return srv.Counts().Terminated > cut })
+	if c := srv.Counts(); c.Input.UnauthenticatedBytes > 256<<10 {
 		t.Errorf("%+v", c.Input)
 	}
 	k := connect(t, addr, true) // one command at a time still gets in
@@ -138,7 +138,7 @@
 	}
 	wait(t, func() bool { c := srv.Counts().Input; return c.Waiting >= conns-input/bulk })
 	c := srv.Counts()
-	if c.Input.Held > input || c.Cut != 0 {
+	if c.Input.GrantedBytes > input || c.Terminated != 0 {
 		t.Errorf("%+v", c)
 	}
 	if used, most := heap()-before, input+conns*(chunkMost+32<<10); used > most { // the test's own clients included
@@ -176,9 +176,9 @@
 		work.Wait()
 		c := srv.Counts()
 		b.ReportMetric(float64(heap()-before)/1e6, "heap-MB")
-		b.ReportMetric(float64(c.Input.Held)/1e6, "granted-MB")
+		b.ReportMetric(float64(c.Input.GrantedBytes)/1e6, "granted-MB")
 		b.ReportMetric(float64(c.Input.Waiting), "waiting")
-		b.ReportMetric(float64(c.Cut), "cut")
+		b.ReportMetric(float64(c.Terminated), "cut")
 	}
 }
 
@@ -209,8 +209,8 @@
 	for _, k := range list {
 		k.expect("", fmt.Sprintf("$%d\r\n%s\r\n", bulk, arg))
 	}
-	wait(t, func() bool { c := srv.Counts().Input; return c.Held == 0 && c.Waiting == 0 }) // room is given back right after the answer
-	if c := srv.Counts(); c.Cut != 0 {
+	wait(t, func() bool { c := srv.Counts().Input; return c.GrantedBytes == 0 && c.Waiting == 0 }) // room is given back right after the answer
+	if c := srv.Counts(); c.Terminated != 0 {
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/front/wire_test.go
+++ b/internal/front/wire_test.go
@@ -179,7 +179,7 @@
 	age, looks := 0.0, 0
 	set := func(x float64) { mu.Lock(); age = x; mu.Unlock() }
 	_, s, addr := startWith(t, nil, func(o *Options) {
-		o.Age = func(float64, bool) (float64, float64) {
+		o.InputAge = func(float64, bool) (float64, float64) {
 			mu.Lock()
 			defer mu.Unlock()
 			looks++
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -47,9 +47,9 @@
 	cfg       *config.Config
 	log       zerolog.Logger
 	loop      *core.Loop
-	pauses    *core.Stalls
+	pauses    *core.PauseMonitor
 	pool      *backend.Pool
-	peers     *peer.Link
+	peers     *peer.Transport
 	discovery *discovery.Client
 	front     *front.Server
 	rpc       *rpc.Server
@@ -77,7 +77,7 @@
 	if in.loop, err = core.NewLoop(settings, seed, clock); err != nil {
 		return nil, err
 	}
-	in.pauses = core.NewStalls(clock)
+	in.pauses = core.NewPauseMonitor(clock)
 	loops := cfg.EventLoops
 	if loops == 0 {
 		loops = max(1, min(4, runtime.NumCPU()/2))
@@ -100,7 +100,7 @@
 	in.goBackground(func() { in.pauses.Run(background) })
 	var peers core.Peers
 	if len(cfg.Instances) > 1 {
-		if in.peers, err = peer.Open(cfg, in.loop, options.Log.With().Str("part", "peer").Logger()); err != nil {
+		if in.peers, err = peer.OpenSealed(cfg, in.loop, options.Log.With().Str("part", "peer").Logger()); err != nil {
 			return nil, err
 		}
 		peers = in.peers
@@ -120,7 +120,7 @@
 		lists = options.Hooks.ServerLists(lists)
 	}
 	if cfg.Discovery == nil {
-		<-lists.Servers(cfg.Servers, true)
+		<-lists.UpdateServers(cfg.Servers, true)
 	} else {
 		in.discovery = discovery.NewClient(*cfg.Discovery, fmt.Sprintf("cometpond-%d", cfg.Self), lists,
 			options.Log.With().Str("part", "discovery").Logger())
@@ -141,8 +141,8 @@
 			return nil, err
 		}
 	}
-	in.front, err = front.Start(calls, front.Options{Listen: cfg.Listen, Loops: loops, Bounds: cfg.Front, Book: registry,
-		Info: in.Info, Age: in.pauses.Age, Read: options.Hooks.FilterInput, Log: options.Log.With().Str("part", "front").Logger()})
+	in.front, err = front.Start(calls, front.Options{Listen: cfg.Listen, Loops: loops, Limits: cfg.Front, Registry: registry,
+		Info: in.Info, InputAge: in.pauses.InputAge, FilterInput: options.Hooks.FilterInput, Log: options.Log.With().Str("part", "front").Logger()})
 	if err != nil {
 		return nil, err
 	}
@@ -153,20 +153,20 @@
 type rpcCore struct {
 	front.Core
 	loop   *core.Loop
-	pauses *core.Stalls
+	pauses *core.PauseMonitor
 }
 
 // Submit passes calls to the core. It does not know when their connections were last read, so after a pause of
 // the process all calls count as sent when the pause began.
 func (c rpcCore) Submit(calls []*core.Call) int {
-	age, _ := c.pauses.Age(0, false)
+	age, _ := c.pauses.InputAge(0, false)
 	for _, call := range calls {
 		call.AgeS = age
 	}
 	return c.Core.Submit(calls)
 }
 
-func (c rpcCore) Return(calls []*core.Call) { c.loop.Return(calls) }
+func (c rpcCore) ReturnUnits(calls []*core.Call) { c.loop.ReturnUnits(calls) }
 
 // goBackground runs f in a goroutine that closeAll waits for.
 func (in *Instance) goBackground(f func()) {
@@ -192,7 +192,7 @@
 // remaining ones with an error, and closes everything. It stops waiting when ctx is done. Each accepted request has
 // been answered when Stop returns.
 func (in *Instance) Stop(ctx context.Context) {
-	in.front.Drain()
+	in.front.RejectNewConnections()
 	if in.rpc != nil {
 		in.rpc.Drain()
 	}
@@ -206,7 +206,7 @@
 	for waiting := true; waiting && idleChecks < 3; {
 		select {
 		case <-tick.C:
-			if status := in.loop.Status(); status.Held+status.Waiting == 0 {
+			if status := in.loop.Status(); status.OpenRequests+status.QueuedCalls == 0 {
 				idleChecks++
 			} else {
 				idleChecks = 0
@@ -223,7 +223,7 @@
 	flushContext, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	in.front.Flush(flushContext)
-	in.log.Info().Int("settled", status.Held).Uint64("taken", status.Taken).Msg("gateway stopped")
+	in.log.Info().Int("settled", status.OpenRequests).Uint64("taken", status.Received).Msg("gateway stopped")
 	in.closeAll()
 }
 
@@ -260,26 +260,26 @@
 	}
 	section("Server", "instance", in.cfg.Self, "zone", in.cfg.Zone, "uptime_in_seconds", int(time.Since(in.startedAt).Seconds()))
 	status := in.loop.Status()
-	section("Requests", "taken", status.Taken, "served", status.Served, "refused", status.Refused, "failed", status.Failed,
+	section("Requests", "taken", status.Received, "served", status.Served, "refused", status.Refused, "failed", status.Failed,
 		"admitted", status.Admitted,
-		"client_gone", status.Gone, "joined", status.Joined, "repeated", status.Repeated, "overfull", status.Overfull,
+		"client_gone", status.Disconnected, "joined", status.Joined, "repeated", status.Repeated, "overfull", status.Overloaded,
 		"overdue", status.Overdue,
-		"stalls", in.pauses.Seen(), "too_late", status.TooLate, "in_flight", status.Held, "waiting", status.Waiting,
+		"stalls", in.pauses.PauseCount(), "too_late", status.DeadlinePassed, "in_flight", status.OpenRequests, "waiting", status.QueuedCalls,
 		"attempts", status.Attempts, "attempt_timeouts", status.Timeouts,
-		"late_answers", status.Late, "probes", status.Probes)
+		"late_answers", status.LateResults, "probes", status.Probes)
 	if in.front != nil {
 		counts := in.front.Counts()
-		section("Clients", "connections", counts.Open, "connections_total", counts.Opened, "connections_cut", counts.Cut,
+		section("Clients", "connections", counts.Open, "connections_total", counts.Opened, "connections_cut", counts.Terminated,
 			"commands", counts.Commands,
-			"logins_denied", counts.Denied, "connections_parked", counts.Parked, "input_held", counts.Input.Held,
+			"logins_denied", counts.LoginsDenied, "connections_parked", counts.ReadsPaused, "input_held", counts.Input.GrantedBytes,
 			"input_waiting", counts.Input.Waiting,
-			"input_strangers", counts.Input.Strangers)
+			"input_strangers", counts.Input.UnauthenticatedBytes)
 	}
 	if in.rpc != nil {
 		counts := in.rpc.Counts()
-		section("gRPC", "calls", counts.Calls, "stream_requests", counts.Requests, "streams", counts.Open,
-			"calls_denied", counts.Denied,
-			"rpc_connections_cut", counts.Cut)
+		section("gRPC", "calls", counts.Calls, "stream_requests", counts.StreamRequests, "streams", counts.OpenStreams,
+			"calls_denied", counts.DeniedCalls,
+			"rpc_connections_cut", counts.RejectedConnections)
 	}
 	poolCounts := in.pool.Counts()
 	section("Boxes", "box_connections", poolCounts.OpenConnections, "dials", poolCounts.Dials,
@@ -292,9 +292,9 @@
 	}
 	if in.peers != nil {
 		counts := in.peers.Counts()
-		section("Peers", "messages_sent", counts.Sent, "messages_unsent", counts.Unsent, "messages_heard", counts.Heard,
-			"messages_dropped", status.Dropped, "foreign", counts.Foreign, "replayed", counts.Replayed, "old", counts.Old,
-			"misdirected", counts.WrongWay)
+		section("Peers", "messages_sent", counts.Sent, "messages_unsent", counts.Unsent, "messages_heard", counts.Received,
+			"messages_dropped", status.DroppedMessages, "foreign", counts.Foreign, "replayed", counts.Replayed, "old", counts.Old,
+			"misdirected", counts.Misdirected)
 	}
 	return text.String()
 }
--- a/internal/instance/instance_test.go
+++ b/internal/instance/instance_test.go
@@ -31,7 +31,7 @@
 // fixture holds three test servers, each in a zone of its own, and the settings text that lists them.
 type fixture struct {
 	t        *testing.T
-	servers  []*standin.Box
+	servers  []*standin.Server
 	settings string
 
 	mu       sync.Mutex
@@ -52,8 +52,8 @@
 		t.Fatal(err)
 	}
 	for i := range 3 {
-		server, err := standin.NewBox("127.0.0.1:0", standin.BoxOptions{Params: standin.DefaultParams, Jobs: standin.Jobs(cfg, work),
-			Seed: uint64(i), Saw: func(a standin.Arrival) {
+		server, err := standin.NewServer("127.0.0.1:0", standin.ServerOptions{Params: standin.DefaultParams, Jobs: standin.Jobs(cfg, work),
+			Seed: uint64(i), OnArrival: func(a standin.Arrival) {
 				fx.mu.Lock()
 				defer fx.mu.Unlock()
 				fx.arrivals = append(fx.arrivals, a)
@@ -75,7 +75,7 @@
 	servers = map[string]bool{}
 	for _, a := range fx.arrivals {
 		if len(a.Words) > 1 && a.Words[1] == key {
-			servers[a.Box] = true
+			servers[a.Server] = true
 			if a.Executed {
 				n++
 			}
@@ -105,7 +105,7 @@
 	t.Helper()
 	defer c.Close()
 	in.Stop(context.Background())
-	if status := in.Status(); status.Taken != status.Served+status.Refused+status.Failed+status.Admitted+status.Gone || status.Held != 0 {
+	if status := in.Status(); status.Received != status.Served+status.Refused+status.Failed+status.Admitted+status.Disconnected || status.OpenRequests != 0 {
 		t.Errorf("answers do not add up: %+v", status)
 	}
 }
--- a/internal/instance/measure_test.go
+++ b/internal/instance/measure_test.go
@@ -110,7 +110,7 @@
 				ids[i] = byte(n >> (8 * i))
 			}
 			gateway.Request(1000+now, policy.Request{ID: string(ids), Class: "job-status", Plan: "wide", Customer: names[n%clients],
-				DeadlineS: 1002.5 + now, Entries: 1, Units: 1, Limit: true})
+				DeadlineAt: 1002.5 + now, GatewayCount: 1, Units: 1, QuotaOnly: true})
 		}
 	}
 	return float64(n) / time.Since(begin).Seconds()
@@ -126,7 +126,7 @@
 func (discardOutput) Cancel(string, int)                     {}
 func (discardOutput) SetTimer(uint64, float64)               {}
 func (discardOutput) Probe(string)                           {}
-func (discardOutput) Tell(int, []byte)                       {}
+func (discardOutput) SendToPeer(int, []byte)                 {}
 func (discardOutput) Log(string)                             {}
 
 // pipelinedAnswersPerS keeps connections busy with a command, writing depth commands at a time, and returns the answers
@@ -181,8 +181,8 @@
 	var list []string
 	for i := range 3 {
 		params := standin.DefaultParams
-		params.Cores, params.Queue = 64, 100000
-		server, err := standin.NewBox("127.0.0.1:0", standin.BoxOptions{Params: params, Seed: uint64(i),
+		params.Cores, params.QueueLength = 64, 100000
+		server, err := standin.NewServer("127.0.0.1:0", standin.ServerOptions{Params: params, Seed: uint64(i),
 			Jobs: map[string]standin.Job{"JOB.STATUS": {Work: work}}})
 		if err != nil {
 			tb.Fatal(err)
--- a/internal/rpc/auth.go
+++ b/internal/rpc/auth.go
@@ -26,7 +26,7 @@
 
 func (s *Server) identify(ctx context.Context) (*access.Client, bool) {
 	if name, ok := certificate(ctx); ok {
-		return s.opt.Book.Known(name)
+		return s.opt.Book.Lookup(name)
 	}
 	name, secret, ok := basic(ctx)
 	if !ok {
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -39,21 +39,21 @@
 // Core is what this front needs of the core.
 type Core interface {
 	Submit(calls []*core.Call) int
-	Gone(calls []*core.Call)
-	Return(calls []*core.Call)
+	Disconnected(calls []*core.Call)
+	ReturnUnits(calls []*core.Call)
 }
 
 // Options are the settings of a Server.
 type Options struct {
 	config.GRPC
-	Book *access.Book
+	Book *access.Registry
 	Log  zerolog.Logger
 }
 
 // Counts are totals since the start.
 type Counts struct {
-	Calls, Requests, Open, Denied uint64 // rpcs, requests of streams, streams open now, rpcs without credentials
-	Cut                           uint64 // connections closed because too many were open
+	Calls, StreamRequests, OpenStreams, DeniedCalls uint64 // rpcs, requests of streams, streams open now, rpcs without credentials
+	RejectedConnections                             uint64 // connections closed because too many were open
 }
 
 // Server is the gRPC front.
@@ -235,16 +235,16 @@
 func ended(a *core.Answer) error {
 	switch a.Kind {
 	case core.Refused:
-		st := status.New(codes.ResourceExhausted, a.Why)
-		if a.RetryS > 0 {
-			with, err := st.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(time.Duration(a.RetryS * 1e9))})
+		st := status.New(codes.ResourceExhausted, a.Detail)
+		if a.RetryAfterS > 0 {
+			with, err := st.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(time.Duration(a.RetryAfterS * 1e9))})
 			if err == nil { // it fails for messages of no registered type alone
 				st = with
 			}
 		}
 		return st.Err()
 	case core.Failed:
-		return status.Error(codes.Unknown, a.Why)
+		return status.Error(codes.Unknown, a.Detail)
 	}
 	return nil
 }
@@ -255,7 +255,7 @@
 		return status.FromContextError(err).Err()
 	}
 	if t, ok := ctx.Deadline(); ok {
-		if c.WithinS = time.Until(t).Seconds(); c.WithinS <= 0 {
+		if c.TimeoutS = time.Until(t).Seconds(); c.TimeoutS <= 0 {
 			return status.Error(codes.DeadlineExceeded, "the deadline had passed on arrival; nothing was done")
 		}
 	}
@@ -268,7 +268,7 @@
 	case <-done:
 		return ended(&c.Answer)
 	case <-ctx.Done():
-		s.core.Gone([]*core.Call{c})
+		s.core.Disconnected([]*core.Call{c})
 		return status.FromContextError(ctx.Err()).Err()
 	}
 }
@@ -297,7 +297,7 @@
 		return core.Call{}, errors.New("no words, want a command of the settings with its further words")
 	}
 	words = append([][]byte{bytes.ToUpper(words[0])}, words[1:]...)
-	c, known, err := s.opt.Book.Work(client, words)
+	c, known, err := s.opt.Book.ParseCommand(client, words)
 	if err == nil && !known {
 		err = fmt.Errorf("unknown command %q", words[0][:min(len(words[0]), 64)])
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -134,16 +134,16 @@
 	return n, nil
 }
 
-// Float returns a required number.
-func (line *Line) Float(name string) (float64, error) {
+// Num returns a required number.
+func (line *Line) Num(name string) (float64, error) {
 	if !line.Has(name) {
 		return 0, line.missing(name)
 	}
-	return line.OptFloat(name)
+	return line.OptNum(name)
 }
 
-// OptFloat returns a number, or 0 if the field is absent.
-func (line *Line) OptFloat(name string) (float64, error) {
+// OptNum returns a number, or 0 if the field is absent.
+func (line *Line) OptNum(name string) (float64, error) {
 	v, ok := line.value(name)
 	if !ok {
 		return 0, nil
@@ -183,8 +183,8 @@
 	return b, nil
 }
 
-// ForEachPair calls visit for each name:value pair of an optional field. It reports whether there was any.
-func (line *Line) ForEachPair(name string, visit func(name string, v float64)) (bool, error) {
+// Pairs calls visit for each name:value pair of an optional field. It reports whether there was any.
+func (line *Line) Pairs(name string, visit func(name string, v float64)) (bool, error) {
 	v, ok := line.value(name)
 	if !ok || v == "" {
 		return false, nil
@@ -221,8 +221,8 @@
 	w.buf = append(append(append(w.buf, '\t'), name...), '=')
 }
 
-// Text adds a text field; line breaks and tabs become spaces.
-func (w *Writer) Text(name, v string) *Writer {
+// Str adds a text field; line breaks and tabs become spaces.
+func (w *Writer) Str(name, v string) *Writer {
 	w.key(name)
 	w.buf = append(w.buf, strings.NewReplacer("\n", " ", "\r", " ", "\t", " ").Replace(v)...)
 	return w
@@ -238,8 +238,8 @@
 	return w
 }
 
-// Float adds a number with six decimals (microseconds for a time in seconds).
-func (w *Writer) Float(name string, v float64) *Writer {
+// Num adds a number with six decimals (microseconds for a time in seconds).
+func (w *Writer) Num(name string, v float64) *Writer {
 	w.key(name)
 	w.buf = strconv.AppendFloat(w.buf, v, 'f', 6, 64)
 	return w
