--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -190,32 +190,32 @@
 	switch name {
 	case "ingress":
 		r.Fields(n, name, n.Args(), []sexp.Field{
-			sexp.IntField("me", true, &c.Me, 0, 1023), sexp.TextField("zone", true, &c.Zone), addressField("listen", true, &c.Listen),
-			sexp.IntField("loops", false, &c.Loops, 1, 64), sexp.TimeField("drain", false, &c.Drain, 0, 5*time.Minute)})
+			sexp.IntField("me", true, &c.Me, 0, 1023), sexp.NameField("zone", true, &c.Zone), addressField("listen", true, &c.Listen),
+			sexp.IntField("loops", false, &c.Loops, 1, 64), sexp.DurationField("drain", false, &c.Drain, 0, 5*time.Minute)})
 	case "instances":
-		r.Fields(n, name, n.Args(), []sexp.Field{{Name: "instance", Required: true, Many: true, Read: c.instance}, {Name: "key", Read: c.peerKey}})
+		r.Fields(n, name, n.Args(), []sexp.Field{{Name: "instance", Required: true, Repeatable: true, Read: c.instance}, {Name: "key", Read: c.peerKey}})
 	case "classes":
-		r.Fields(n, name, n.Args(), []sexp.Field{{Name: "class", Required: true, Many: true, Read: c.class}})
+		r.Fields(n, name, n.Args(), []sexp.Field{{Name: "class", Required: true, Repeatable: true, Read: c.class}})
 	case "plans":
-		r.Fields(n, name, n.Args(), []sexp.Field{{Name: "plan", Required: true, Many: true, Read: c.plan}})
+		r.Fields(n, name, n.Args(), []sexp.Field{{Name: "plan", Required: true, Repeatable: true, Read: c.plan}})
 	case "rules":
 		r.Fields(n, name, n.Args(), []sexp.Field{
 			sexp.SecondsField("answer-slack", false, &c.Rules.AnswerSlackS, 0, time.Second),
-			sexp.NumField("cold-from", false, &c.Rules.ColdFrom, 0, 1), sexp.SecondsField("cold", false, &c.Rules.ColdS, 0, time.Hour),
-			sexp.NumField("fall-multiple", false, &c.Rules.FallMultiple, 1, 100),
+			sexp.NumberField("cold-from", false, &c.Rules.ColdFrom, 0, 1), sexp.SecondsField("cold", false, &c.Rules.ColdS, 0, time.Hour),
+			sexp.NumberField("fall-multiple", false, &c.Rules.FallMultiple, 1, 100),
 			sexp.SecondsField("fall", false, &c.Rules.FallS, 0, time.Minute)})
 	case "front":
 		r.Fields(n, name, n.Args(), []sexp.Field{
 			sexp.IntField("connections", false, &c.Front.Connections, 1, 1<<20), sexp.IntField("bulk", false, &c.Front.Bulk, 64, 64<<20),
 			sexp.IntField("pipeline", false, &c.Front.Pipeline, 1, 1<<16), sexp.IntField("output", false, &c.Front.Output, 1<<10, 1<<30),
 			sexp.IntField("input", false, &c.Front.Input, 1<<20, 1<<34),
-			sexp.TimeField("partial", false, &c.Front.Partial, 100*time.Millisecond, time.Hour)})
+			sexp.DurationField("partial", false, &c.Front.Partial, 100*time.Millisecond, time.Hour)})
 	case "backend":
 		loads := []string{"probe", "answer", "none"}
 		yes := 1
 		r.Fields(n, name, n.Args(), []sexp.Field{
 			sexp.IntField("connections", false, &c.Backend.Connections, 1, 1024), sexp.IntField("pipeline", false, &c.Backend.Pipeline, 1, 1024),
-			sexp.TimeField("connect", false, &c.Backend.Connect, time.Millisecond, time.Minute),
+			sexp.DurationField("connect", false, &c.Backend.Connect, time.Millisecond, time.Minute),
 			sexp.ChoiceField("load", false, &c.Backend.Load, loads, loads),
 			sexp.IntField("attempts", false, &c.Backend.Attempts, 1, 16),
 			sexp.ChoiceField("parallel", false, &yes, []string{"yes", "no"}, []int{1, 0})})
@@ -223,21 +223,21 @@
 	case "grpc":
 		c.grpc(r, n)
 	case "boxes":
-		r.Fields(n, name, n.Args(), []sexp.Field{{Name: "box", Required: true, Many: true, Read: c.box}})
+		r.Fields(n, name, n.Args(), []sexp.Field{{Name: "box", Required: true, Repeatable: true, Read: c.box}})
 	case "discovery":
 		d := &Discovery{}
-		r.Fields(n, name, n.Args(), []sexp.Field{{Name: "server", Required: true, Many: true, Read: func(r *sexp.Reader, n *sexp.Node) {
-			d.Servers = append(d.Servers, address(r, r.One(n, "ADDRESS"), "server"))
-		}}, sexp.TextField("cluster", true, &d.Cluster), sexp.TextField("keep", false, &d.Keep)})
+		r.Fields(n, name, n.Args(), []sexp.Field{{Name: "server", Required: true, Repeatable: true, Read: func(r *sexp.Reader, n *sexp.Node) {
+			d.Servers = append(d.Servers, address(r, r.SingleArg(n, "ADDRESS"), "server"))
+		}}, sexp.NameField("cluster", true, &d.Cluster), sexp.NameField("keep", false, &d.Keep)})
 		c.Discovery = d
 	case "commands":
-		r.Fields(n, name, n.Args(), []sexp.Field{{Name: "command", Many: true, Read: c.command}, {Name: "throttle", Read: func(r *sexp.Reader, n *sexp.Node) {
+		r.Fields(n, name, n.Args(), []sexp.Field{{Name: "command", Repeatable: true, Read: c.command}, {Name: "throttle", Read: func(r *sexp.Reader, n *sexp.Node) {
 			r.Fields(n, "throttle", n.Args(), []sexp.Field{{Name: "class", Required: true, Read: func(r *sexp.Reader, n *sexp.Node) {
-				c.Throttle = c.classOf(r, r.One(n, "CLASS"))
+				c.Throttle = c.classOf(r, r.SingleArg(n, "CLASS"))
 			}}})
 		}}})
 	case "clients":
-		r.Fields(n, name, n.Args(), []sexp.Field{{Name: "client", Required: true, Many: true, Read: c.client()}})
+		r.Fields(n, name, n.Args(), []sexp.Field{{Name: "client", Required: true, Repeatable: true, Read: c.client()}})
 	}
 }
 
@@ -251,7 +251,7 @@
 
 func addressField(name string, required bool, to *string) sexp.Field {
 	return sexp.Field{Name: name, Required: required,
-		Read: func(r *sexp.Reader, n *sexp.Node) { *to = address(r, r.One(n, "ADDRESS"), name) }}
+		Read: func(r *sexp.Reader, n *sexp.Node) { *to = address(r, r.SingleArg(n, "ADDRESS"), name) }}
 }
 
 func (c *Config) instance(r *sexp.Reader, n *sexp.Node) {
@@ -260,7 +260,7 @@
 		r.Fail(n, "instance", "holds %d values, want (instance NUMBER PEER-ADDRESS)", len(a))
 		return
 	}
-	i := Instance{r.Whole(a[0], "instance", 0, 1023), address(r, a[1], "instance")}
+	i := Instance{r.Int(a[0], "instance", 0, 1023), address(r, a[1], "instance")}
 	if i.Number != len(c.Instances) {
 		r.Fail(a[0], "instance", "number %d, want %d: instances are numbered from 0, in order", i.Number, len(c.Instances))
 	}
@@ -268,7 +268,7 @@
 }
 
 func (c *Config) peerKey(r *sexp.Reader, n *sexp.Node) {
-	a := r.One(n, "HEX")
+	a := r.SingleArg(n, "HEX")
 	key, err := hex.DecodeString(strings.TrimSpace(r.Name(a, "key")))
 	if r.Err == nil && (err != nil || len(key) != 32) {
 		r.Fail(a, "key", "want 64 hex digits, as `openssl rand -hex 32` prints them")
@@ -278,12 +278,12 @@
 
 func (c *Config) class(r *sexp.Reader, n *sexp.Node) {
 	k := policy.Class{Worth: 1}
-	name, rest := r.Named(n)
+	name, rest := r.NameAndArgs(n)
 	k.Name = name
 	r.Fields(n, "class "+name, rest, []sexp.Field{
 		sexp.SecondsField("aim", true, &k.AimS, time.Millisecond, time.Hour),
 		sexp.SecondsField("deadline", true, &k.DeadlineS, time.Millisecond, time.Hour),
-		sexp.NumField("worth", false, &k.Worth, 0, 1e6), sexp.NumField("late-worth", false, &k.LateWorth, 0, 1),
+		sexp.NumberField("worth", false, &k.Worth, 0, 1e6), sexp.NumberField("late-worth", false, &k.LateWorth, 0, 1),
 		sexp.ChoiceField("effect", true, &k.Effect, []string{"safe", "keyed", "unsafe"},
 			[]policy.Effect{policy.Safe, policy.Keyed, policy.Unsafe}),
 		sexp.ChoiceField("key-scope", false, &k.KeyScope, []string{"all", "zone", "cell"},
@@ -305,16 +305,16 @@
 
 func (c *Config) plan(r *sexp.Reader, n *sexp.Node) {
 	p := policy.Plan{Price: 1, ExcessCost: 1}
-	name, rest := r.Named(n)
+	name, rest := r.NameAndArgs(n)
 	p.Name = name
 	where := "plan " + name
 	r.Fields(n, where, rest, []sexp.Field{
-		sexp.NumField("rate", false, &p.Rate, 0.001, mostRate), sexp.NumField("burst", false, &p.Burst, 1, mostBurst),
-		sexp.IntField("parallel", false, &p.Parallel, 1, 65000), sexp.NumField("price", false, &p.Price, 0, 1e6),
-		sexp.NumField("excess-cost", false, &p.ExcessCost, 0, 100), sexp.NumField("extra-worth", false, &p.ExtraWorth, 0, 1),
+		sexp.NumberField("rate", false, &p.Rate, 0.001, mostRate), sexp.NumberField("burst", false, &p.Burst, 1, mostBurst),
+		sexp.IntField("parallel", false, &p.Parallel, 1, 65000), sexp.NumberField("price", false, &p.Price, 0, 1e6),
+		sexp.NumberField("excess-cost", false, &p.ExcessCost, 0, 100), sexp.NumberField("extra-worth", false, &p.ExtraWorth, 0, 1),
 		{Name: "ceiling", Read: func(r *sexp.Reader, n *sexp.Node) {
-			r.Fields(n, where+" ceiling", n.Args(), []sexp.Field{sexp.NumField("rate", true, &p.CeilingRate, 0.001, mostRate),
-				sexp.NumField("burst", true, &p.CeilingBurst, 1, mostBurst), sexp.NumField("slack", false, &p.CeilingSlack, 0, mostBurst)})
+			r.Fields(n, where+" ceiling", n.Args(), []sexp.Field{sexp.NumberField("rate", true, &p.CeilingRate, 0.001, mostRate),
+				sexp.NumberField("burst", true, &p.CeilingBurst, 1, mostBurst), sexp.NumberField("slack", false, &p.CeilingSlack, 0, mostBurst)})
 		}}})
 	if p.Rate > 0 && p.Burst == 0 || p.Rate == 0 && p.Burst > 0 {
 		r.Fail(n, where, "want (rate ..) and (burst ..) together, or neither")
@@ -341,8 +341,8 @@
 	}
 	s.ID = address(r, n.Args()[0], "box")
 	where := "box " + s.ID
-	r.Fields(n, where, n.Args()[1:], []sexp.Field{sexp.TextField("zone", true, &s.Zone), sexp.IntField("cell", false, &s.Cell, 0, 1<<20),
-		sexp.NumField("weight", false, &s.Weight, 0.001, 1e6),
+	r.Fields(n, where, n.Args()[1:], []sexp.Field{sexp.NameField("zone", true, &s.Zone), sexp.IntField("cell", false, &s.Cell, 0, 1<<20),
+		sexp.NumberField("weight", false, &s.Weight, 0.001, 1e6),
 		sexp.ChoiceField("state", false, &s.State, []string{"up", "draining"}, []policy.State{policy.Up, policy.Draining})})
 	for _, o := range c.Boxes {
 		if o.ID == s.ID {
@@ -376,11 +376,11 @@
 
 func (c *Config) command(r *sexp.Reader, n *sexp.Node) {
 	k := Command{Units: 1, Class: -1}
-	name, rest := r.Named(n)
+	name, rest := r.NameAndArgs(n)
 	k.Name = strings.ToUpper(name)
 	where := "command " + name
 	r.Fields(n, where, rest, []sexp.Field{
-		{Name: "class", Required: true, Read: func(r *sexp.Reader, n *sexp.Node) { k.Class = c.classOf(r, r.One(n, "CLASS")) }},
+		{Name: "class", Required: true, Read: func(r *sexp.Reader, n *sexp.Node) { k.Class = c.classOf(r, r.SingleArg(n, "CLASS")) }},
 		sexp.IntField("arity", true, &k.Arity, -64, 64), sexp.IntField("units", false, &k.Units, 1, mostUnits),
 		sexp.IntField("units-at", false, &k.UnitsAt, 1, 63), sexp.IntField("key-at", false, &k.KeyAt, 1, 63)})
 	least := max(k.Arity, -k.Arity)
@@ -406,11 +406,11 @@
 	seen := map[string]bool{}
 	return func(r *sexp.Reader, n *sexp.Node) {
 		k := Client{Plan: -1}
-		name, rest := r.Named(n)
+		name, rest := r.NameAndArgs(n)
 		k.Name = name
 		where := "client " + name
 		r.Fields(n, where, rest, []sexp.Field{
-			{Name: "plan", Required: true, Read: func(r *sexp.Reader, n *sexp.Node) { k.Plan = c.planOf(r, r.One(n, "PLAN")) }},
+			{Name: "plan", Required: true, Read: func(r *sexp.Reader, n *sexp.Node) { k.Plan = c.planOf(r, r.SingleArg(n, "PLAN")) }},
 			{Name: "secret-sha256", Required: true, Read: func(r *sexp.Reader, n *sexp.Node) { k.Secret = secret(r, n) }}})
 		if seen[name] {
 			r.Fail(n, where, "given twice, want each name once")
@@ -431,12 +431,12 @@
 		sexp.IntField("streams", false, &g.Streams, 1, 1<<20), sexp.IntField("ahead", false, &g.Ahead, 1, 1<<16),
 		sexp.IntField("message", false, &g.Message, 1<<10, 64<<20),
 		{Name: "tls", Read: func(r *sexp.Reader, n *sexp.Node) {
-			r.Fields(n, "grpc tls", n.Args(), []sexp.Field{sexp.TextField("certificate", true, &g.Certificate),
-				sexp.TextField("key", true, &g.Key), sexp.TextField("clients", false, &g.CAs)})
+			r.Fields(n, "grpc tls", n.Args(), []sexp.Field{sexp.NameField("certificate", true, &g.Certificate),
+				sexp.NameField("key", true, &g.Key), sexp.NameField("clients", false, &g.CAs)})
 		}},
-		{Name: "domain", Many: true, Read: func(r *sexp.Reader, n *sexp.Node) {
+		{Name: "domain", Repeatable: true, Read: func(r *sexp.Reader, n *sexp.Node) {
 			d := Domain{}
-			name, rest := r.Named(n)
+			name, rest := r.NameAndArgs(n)
 			d.Name = name
 			where := "domain " + name
 			for _, o := range g.Domains {
@@ -447,7 +447,7 @@
 			r.Fields(n, where, rest, []sexp.Field{
 				{Name: "secret-sha256", Required: true, Read: func(r *sexp.Reader, n *sexp.Node) { d.Secret = secret(r, n) }},
 				sexp.ChoiceField("unmatched", true, &d.Allow, []string{"allow", "refuse"}, []bool{true, false}),
-				{Name: "descriptor", Required: true, Many: true, Read: func(r *sexp.Reader, n *sexp.Node) {
+				{Name: "descriptor", Required: true, Repeatable: true, Read: func(r *sexp.Reader, n *sexp.Node) {
 					d.Descriptors = append(d.Descriptors, c.descriptor(r, n, where))
 				}}})
 			g.Domains = append(g.Domains, d)
@@ -458,9 +458,9 @@
 func (c *Config) descriptor(r *sexp.Reader, n *sexp.Node, where string) Descriptor {
 	d := Descriptor{Units: 1}
 	r.Fields(n, where+" descriptor", n.Args(), []sexp.Field{
-		sexp.TextField("customer", true, &d.Customer), sexp.IntField("units", false, &d.Units, 1, mostUnits),
-		{Name: "class", Required: true, Read: func(r *sexp.Reader, n *sexp.Node) { d.Class = c.classOf(r, r.One(n, "CLASS")) }},
-		{Name: "entry", Many: true, Read: func(r *sexp.Reader, n *sexp.Node) {
+		sexp.NameField("customer", true, &d.Customer), sexp.IntField("units", false, &d.Units, 1, mostUnits),
+		{Name: "class", Required: true, Read: func(r *sexp.Reader, n *sexp.Node) { d.Class = c.classOf(r, r.SingleArg(n, "CLASS")) }},
+		{Name: "entry", Repeatable: true, Read: func(r *sexp.Reader, n *sexp.Node) {
 			a := n.Args()
 			if len(a) != 1 && len(a) != 2 {
 				r.Fail(n, "entry", "holds %d values, want (entry KEY) or (entry KEY VALUE)", len(a))
@@ -477,7 +477,7 @@
 
 // secret reads the hash of a secret.
 func secret(r *sexp.Reader, n *sexp.Node) (to [sha256.Size]byte) {
-	a := r.One(n, "HEX")
+	a := r.SingleArg(n, "HEX")
 	sum, err := hex.DecodeString(r.Name(a, n.Head()))
 	if r.Err == nil && (err != nil || len(sum) != sha256.Size) {
 		r.Fail(a, n.Head(), "want 64 hex digits, as `cometpond secret` prints them")
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -114,13 +114,13 @@
 	s := &Script{For: 40 * time.Second, Rate: 300, Seed: 1, Instances: 3, Rooms: 3, Boxes: 12}
 	r, top, seed := &sexp.Reader{}, f.Forms[0], 1
 	r.Fields(top, "day", top.Args(), []sexp.Field{
-		sexp.TimeField("for", false, &s.For, time.Second, 24*time.Hour),
-		sexp.NumField("rate", false, &s.Rate, 1, 1e5),
+		sexp.DurationField("for", false, &s.For, time.Second, 24*time.Hour),
+		sexp.NumberField("rate", false, &s.Rate, 1, 1e5),
 		sexp.IntField("seed", false, &seed, 0, 1<<31),
 		sexp.IntField("instances", false, &s.Instances, 1, 64),
 		sexp.IntField("rooms", false, &s.Rooms, 1, 64),
 		sexp.IntField("boxes", false, &s.Boxes, 1, 1000),
-		{Name: "at", Many: true, Read: s.event},
+		{Name: "at", Repeatable: true, Read: s.event},
 	})
 	s.Seed = uint64(seed)
 	if r.Err != nil {
@@ -157,10 +157,10 @@
 		r.Fail(a[1], "at", "unknown trouble %s, want one of: %s", a[1], strings.Join(names, " "))
 		return
 	}
-	e.Size = r.Number(r.One(a[1], "SIZE"), e.Kind, k.lo, k.hi)
+	e.Size = r.Number(r.SingleArg(a[1], "SIZE"), e.Kind, k.lo, k.hi)
 	switch {
 	case k.lasts && len(a) == 3 && a[2].Head() == "for":
-		e.For = r.Duration(r.One(a[2], "TIME"), "for", time.Millisecond, 24*time.Hour)
+		e.For = r.Duration(r.SingleArg(a[2], "TIME"), "for", time.Millisecond, 24*time.Hour)
 	case k.lasts:
 		r.Fail(n, e.Kind, "lasts, want (for TIME) with it")
 	case len(a) == 3:
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -267,8 +267,8 @@
 	}
 	if i.rpc != nil {
 		c := i.rpc.Counts()
-		section("gRPC", "calls", c.Calls, "stream_requests", c.Requests, "streams", c.Open, "calls_denied", c.Denied,
-			"rpc_connections_cut", c.Cut)
+		section("gRPC", "calls", c.Calls, "stream_requests", c.StreamRequests, "streams", c.OpenStreams, "calls_denied", c.DeniedCalls,
+			"rpc_connections_cut", c.RejectedConnections)
 	}
 	p := i.pool.Counts()
 	section("Boxes", "box_connections", p.OpenConnections, "dials", p.Dials, "dials_failed", p.DialsFailed, "attempts_broken", p.AttemptsBroken)
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -485,8 +485,8 @@
 	if err := ask(first); err != nil {
 		t.Fatal(err)
 	}
-	if err := ask(second); status.Code(err) != codes.Unavailable || srv.Counts().Cut == 0 {
-		t.Fatal(err, srv.Counts().Cut)
+	if err := ask(second); status.Code(err) != codes.Unavailable || srv.Counts().RejectedConnections == 0 {
+		t.Fatal(err, srv.Counts().RejectedConnections)
 	}
 	if err := ask(first); err != nil {
 		t.Fatal(err)
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -52,8 +52,8 @@
 
 // Counts are totals since the start.
 type Counts struct {
-	Calls, Requests, Open, Denied uint64 // rpcs, requests of streams, streams open now, rpcs without credentials
-	Cut                           uint64 // connections closed because too many were open
+	Calls, StreamRequests, OpenStreams, DeniedCalls uint64 // rpcs, requests of streams, streams open now, rpcs without credentials
+	RejectedConnections                             uint64 // connections closed because too many were open
 }
 
 // Server is the gRPC front.
