--- a/internal/rpc/auth.go
+++ b/internal/rpc/auth.go
@@ -14,69 +14,71 @@
 	"cometpond/internal/config"
 )
 
-// client tells which customer an rpc comes from: by its verified certificate's common name, else by
-// authorization: Basic. Credentials that are no good are not made up for by the other kind.
-func (s *Server) client(ctx context.Context) (*access.Client, bool) {
-	c, ok := s.identify(ctx)
+// authenticate returns the client that makes an RPC: the one named by the common name of its verified
+// certificate, or else by authorization: Basic. A certificate that names no known client is refused even if
+// valid Basic credentials come with it.
+func (srv *Server) authenticate(ctx context.Context) (*access.Client, bool) {
+	client, ok := srv.findClient(ctx)
 	if !ok {
-		s.denied.Add(1)
+		srv.deniedCalls.Add(1)
 	}
-	return c, ok
+	return client, ok
 }
 
-func (s *Server) identify(ctx context.Context) (*access.Client, bool) {
-	if name, ok := certificate(ctx); ok {
-		return s.opt.Book.Known(name)
+// findClient looks up the client by certificate or, without one, by Basic credentials.
+func (srv *Server) findClient(ctx context.Context) (*access.Client, bool) {
+	if name, ok := certificateName(ctx); ok {
+		return srv.options.Book.Known(name)
 	}
-	name, secret, ok := basic(ctx)
+	name, secret, ok := basicCredentials(ctx)
 	if !ok {
 		return nil, false
 	}
-	return s.opt.Book.Login(name, secret)
+	return srv.options.Book.Login(name, secret)
 }
 
-// certificate is the common name of the verified certificate of the caller.
-func certificate(ctx context.Context) (string, bool) {
-	p, ok := peer.FromContext(ctx)
+// certificateName returns the common name of the caller's verified certificate.
+func certificateName(ctx context.Context) (string, bool) {
+	caller, ok := peer.FromContext(ctx)
 	if !ok {
 		return "", false
 	}
-	t, ok := p.AuthInfo.(credentials.TLSInfo)
-	if !ok || len(t.State.VerifiedChains) == 0 {
+	tlsInfo, ok := caller.AuthInfo.(credentials.TLSInfo)
+	if !ok || len(tlsInfo.State.VerifiedChains) == 0 {
 		return "", false
 	}
-	return t.State.VerifiedChains[0][0].Subject.CommonName, true
+	return tlsInfo.State.VerifiedChains[0][0].Subject.CommonName, true
 }
 
-// basic reads the name and secret of authorization: Basic.
-func basic(ctx context.Context) (name, secret string, ok bool) {
+// basicCredentials returns the name and secret from authorization: Basic.
+func basicCredentials(ctx context.Context) (name, secret string, ok bool) {
 	md, _ := metadata.FromIncomingContext(ctx)
-	v := md.Get("authorization")
-	if len(v) != 1 {
+	values := md.Get("authorization")
+	if len(values) != 1 {
 		return "", "", false
 	}
-	code, ok := strings.CutPrefix(v[0], "Basic ")
+	encoded, ok := strings.CutPrefix(values[0], "Basic ")
 	if !ok {
 		return "", "", false
 	}
-	raw, err := base64.StdEncoding.DecodeString(code)
+	raw, err := base64.StdEncoding.DecodeString(encoded)
 	if err != nil {
 		return "", "", false
 	}
 	return strings.Cut(string(raw), ":")
 }
 
-// domain returns the settings of a rate limit domain if the caller may ask in it: the domain's secret stands
-// in authorization: Basic, with the domain's name.
-func (s *Server) domain(ctx context.Context, name string) (*config.Domain, bool) {
-	user, secret, ok := basic(ctx)
-	sum := config.HashSecret(secret)
-	for i := range s.opt.Domains {
-		d := &s.opt.Domains[i]
-		if d.Name == name && ok && user == name && subtle.ConstantTimeCompare(sum[:], d.Secret[:]) == 1 {
-			return d, true
+// authenticateDomain returns the settings of a rate limit domain if the caller may use it: authorization: Basic
+// must hold the domain's name and secret.
+func (srv *Server) authenticateDomain(ctx context.Context, name string) (*config.Domain, bool) {
+	user, secret, ok := basicCredentials(ctx)
+	secretHash := config.HashSecret(secret)
+	for i := range srv.options.Domains {
+		domain := &srv.options.Domains[i]
+		if domain.Name == name && ok && user == name && subtle.ConstantTimeCompare(secretHash[:], domain.Secret[:]) == 1 {
+			return domain, true
 		}
 	}
-	s.denied.Add(1)
+	srv.deniedCalls.Add(1)
 	return nil, false
 }
--- a/internal/rpc/limits.go
+++ b/internal/rpc/limits.go
@@ -17,86 +17,88 @@
 	"cometpond/internal/core"
 )
 
-// mostDescriptors bounds one call.
-const mostDescriptors = 64
+// maxDescriptors is the largest number of descriptors in one request.
+const maxDescriptors = 64
 
-// ShouldRateLimit answers Envoy's question. All descriptors that match are asked for at once; the call is
-// over limit if one of them is, and then what the others took is handed back.
-func (s *Server) ShouldRateLimit(ctx context.Context, r *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
-	s.calls.Add(1)
-	d, ok := s.domain(ctx, r.GetDomain())
+// ShouldRateLimit implements Envoy's rate limit service. The units of all matching descriptors are requested
+// together. The request is over limit if one descriptor is; the units taken for the others are then returned.
+func (srv *Server) ShouldRateLimit(ctx context.Context, request *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
+	srv.calls.Add(1)
+	domain, ok := srv.authenticateDomain(ctx, request.GetDomain())
 	if !ok {
 		return nil, status.Error(codes.Unauthenticated, "no good credentials for this domain: want authorization: Basic with its name and secret")
 	}
-	list := r.GetDescriptors()
-	if len(list) == 0 || len(list) > mostDescriptors {
-		return nil, status.Errorf(codes.InvalidArgument, "%d descriptors, want 1 to %d", len(list), mostDescriptors)
+	descriptors := request.GetDescriptors()
+	if len(descriptors) == 0 || len(descriptors) > maxDescriptors {
+		return nil, status.Errorf(codes.InvalidArgument, "%d descriptors, want 1 to %d", len(descriptors), maxDescriptors)
 	}
 	if err := ctx.Err(); err != nil {
 		return nil, status.FromContextError(err).Err()
 	}
-	calls := make([]*core.Call, len(list)) // nil where none matches
-	back := make(chan *core.Call, len(list))
-	var asked []*core.Call
-	for i, e := range list {
-		c, err := s.limit(d, r, e)
+	calls := make([]*core.Call, len(descriptors)) // by descriptor; nil if no rule matches it
+	answered := make(chan *core.Call, len(descriptors))
+	var submitted []*core.Call
+	for i, descriptor := range descriptors {
+		call, err := srv.limitCall(domain, request, descriptor)
 		if err != nil {
 			return nil, status.Error(codes.InvalidArgument, err.Error())
 		}
-		if c != nil {
-			c.Front, c.Tag = waiter{}, back
-			calls[i], asked = c, append(asked, c)
+		if call != nil {
+			call.Front, call.Tag = answerReceiver{}, answered
+			calls[i], submitted = call, append(submitted, call)
 		}
 	}
-	taken := s.core.Submit(asked)
-	late := error(nil)
-	for n := 0; n < taken && late == nil; n++ {
+	accepted := srv.core.Submit(submitted)
+	contextErr := error(nil)
+	for n := 0; n < accepted && contextErr == nil; n++ {
 		select {
-		case <-back:
+		case <-answered:
 		case <-ctx.Done():
-			late = status.FromContextError(ctx.Err()).Err()
+			contextErr = status.FromContextError(ctx.Err()).Err()
 		}
 	}
-	if late != nil {
-		s.abandon(asked[:taken], back)
-		return nil, late
+	if contextErr != nil {
+		srv.cancelCalls(submitted[:accepted], answered)
+		return nil, contextErr
 	}
-	if taken < len(asked) {
-		s.handBack(asked[:taken])
+	if accepted < len(submitted) {
+		srv.returnUnits(submitted[:accepted])
 		return nil, status.Error(codes.Unavailable, "too many requests wait")
 	}
-	return s.response(d, calls, asked)
+	return srv.response(domain, calls, submitted)
 }
 
-// limit finds the rule that a descriptor matches and the call that asks for its units; nil if none does.
-func (s *Server) limit(d *config.Domain, r *rlsv3.RateLimitRequest, e *ratelimitv3.RateLimitDescriptor) (*core.Call, error) {
+// limitCall finds the rule that a descriptor matches and returns the call that requests its units, or nil if
+// no rule matches.
+func (srv *Server) limitCall(domain *config.Domain, request *rlsv3.RateLimitRequest, descriptor *ratelimitv3.RateLimitDescriptor) (*core.Call, error) {
 	values := map[string]string{}
-	for _, x := range e.GetEntries() {
-		values[x.GetKey()] = x.GetValue()
+	for _, entry := range descriptor.GetEntries() {
+		values[entry.GetKey()] = entry.GetValue()
 	}
-	hits := uint64(max(1, r.GetHitsAddend()))
-	if e.GetHitsAddend() != nil {
-		hits = e.GetHitsAddend().GetValue() // 0 asks without taking
+	hits := uint64(max(1, request.GetHitsAddend()))
+	if descriptor.GetHitsAddend() != nil {
+		hits = descriptor.GetHitsAddend().GetValue() // 0 reads the quota without taking units
 	}
-	for i := range d.Descriptors {
-		rule := &d.Descriptors[i]
-		client, ok := s.matches(rule, values)
+	for i := range domain.Descriptors {
+		rule := &domain.Descriptors[i]
+		client, ok := srv.matchRule(rule, values)
 		if !ok {
 			continue
 		}
-		most := uint64(s.opt.Book.MostUnits() / rule.Units)
-		if hits > most {
-			return nil, fmt.Errorf("hits_addend %d, want %d at most for this descriptor", hits, most)
+		maxHits := uint64(srv.options.Book.MostUnits() / rule.Units)
+		if hits > maxHits {
+			return nil, fmt.Errorf("hits_addend %d, want %d at most for this descriptor", hits, maxHits)
 		}
-		c := s.opt.Book.Limit(client, rule.Class, float64(hits)*float64(rule.Units))
-		return &c, nil
+		call := srv.options.Book.Limit(client, rule.Class, float64(hits)*float64(rule.Units))
+		return &call, nil
 	}
 	return nil, nil
 }
 
-func (s *Server) matches(rule *config.Descriptor, values map[string]string) (*access.Client, bool) {
-	for _, want := range rule.Entries {
-		if got, ok := values[want[0]]; !ok || want[1] != "" && got != want[1] {
+// matchRule reports whether the descriptor's values match the rule, and returns the client that they name.
+func (srv *Server) matchRule(rule *config.Descriptor, values map[string]string) (*access.Client, bool) {
+	for _, wanted := range rule.Entries {
+		if received, ok := values[wanted[0]]; !ok || wanted[1] != "" && received != wanted[1] {
 			return nil, false
 		}
 	}
@@ -104,90 +106,91 @@
 	if !ok {
 		return nil, false
 	}
-	return s.opt.Book.Known(name)
+	return srv.options.Book.Known(name)
 }
 
-// handBack returns what calls were admitted for.
-func (s *Server) handBack(calls []*core.Call) {
-	var back []*core.Call
-	for _, c := range calls {
-		if c.Answer.Kind == core.Admitted && c.Units > 0 {
-			back = append(back, c)
+// returnUnits returns the units of all admitted calls to their quotas.
+func (srv *Server) returnUnits(calls []*core.Call) {
+	var admitted []*core.Call
+	for _, call := range calls {
+		if call.Answer.Kind == core.Admitted && call.Units > 0 {
+			admitted = append(admitted, call)
 		}
 	}
-	if len(back) > 0 {
-		s.core.Return(back)
+	if len(admitted) > 0 {
+		srv.core.Return(admitted)
 	}
 }
 
-// abandon gives up calls whose caller has left. Those that were admitted meanwhile are handed back; those
-// still waiting are the core's to end.
-func (s *Server) abandon(calls []*core.Call, back <-chan *core.Call) {
-	s.core.Gone(calls)
-	var got []*core.Call
+// cancelCalls cancels calls whose caller has disconnected. It returns the units of those that were admitted
+// meanwhile; the core ends those still waiting.
+func (srv *Server) cancelCalls(calls []*core.Call, answered <-chan *core.Call) {
+	srv.core.Gone(calls)
+	var received []*core.Call
 	for {
 		select {
-		case c := <-back:
-			got = append(got, c)
+		case call := <-answered:
+			received = append(received, call)
 		default:
-			s.handBack(got)
+			srv.returnUnits(received)
 			return
 		}
 	}
 }
 
-// response puts the answers together.
-func (s *Server) response(d *config.Domain, calls, asked []*core.Call) (*rlsv3.RateLimitResponse, error) {
-	out := &rlsv3.RateLimitResponse{OverallCode: rlsv3.RateLimitResponse_OK}
-	var tight *core.Answer
-	for _, c := range calls {
-		st := &rlsv3.RateLimitResponse_DescriptorStatus{Code: rlsv3.RateLimitResponse_OK}
+// response builds the response from the answers of all calls.
+func (srv *Server) response(domain *config.Domain, calls, submitted []*core.Call) (*rlsv3.RateLimitResponse, error) {
+	response := &rlsv3.RateLimitResponse{OverallCode: rlsv3.RateLimitResponse_OK}
+	var tightest *core.Answer
+	for _, call := range calls {
+		descriptorStatus := &rlsv3.RateLimitResponse_DescriptorStatus{Code: rlsv3.RateLimitResponse_OK}
 		switch {
-		case c == nil && !d.Allow:
-			st.Code = rlsv3.RateLimitResponse_OVER_LIMIT
-		case c == nil:
-		case c.Answer.Kind == core.Failed || c.Answer.Kind == core.Refused && c.Answer.Reason != core.NoRoom:
-			s.handBack(asked)
-			return nil, status.Error(codes.Unavailable, c.Answer.Why) // no ruling: the caller's failure mode decides
+		case call == nil && !domain.Allow:
+			descriptorStatus.Code = rlsv3.RateLimitResponse_OVER_LIMIT
+		case call == nil:
+		case call.Answer.Kind == core.Failed || call.Answer.Kind == core.Refused && call.Answer.Reason != core.NoRoom:
+			srv.returnUnits(submitted)
+			return nil, status.Error(codes.Unavailable, call.Answer.Why) // no decision on the quota: the caller's failure mode applies
 		default:
-			a := &c.Answer
-			if a.Kind == core.Refused && c.Units > 0 {
-				st.Code = rlsv3.RateLimitResponse_OVER_LIMIT
+			answer := &call.Answer
+			if answer.Kind == core.Refused && call.Units > 0 {
+				descriptorStatus.Code = rlsv3.RateLimitResponse_OVER_LIMIT
 			}
-			if q := a.Quota; !math.IsInf(q.Burst, 1) {
-				rate := q.Rate
-				st.CurrentLimit = &rlsv3.RateLimitResponse_RateLimit{RequestsPerUnit: uint32(max(1, math.Round(rate))), Unit: rlsv3.RateLimitResponse_RateLimit_SECOND}
-				st.LimitRemaining = uint32(max(q.Room, 0))
-				st.DurationUntilReset = seconds(q.ResetS)
-				if tight == nil || q.Room < tight.Quota.Room {
-					tight = a
+			if quota := answer.Quota; !math.IsInf(quota.Burst, 1) {
+				rate := quota.Rate
+				descriptorStatus.CurrentLimit = &rlsv3.RateLimitResponse_RateLimit{RequestsPerUnit: uint32(max(1, math.Round(rate))), Unit: rlsv3.RateLimitResponse_RateLimit_SECOND}
+				descriptorStatus.LimitRemaining = uint32(max(quota.Room, 0))
+				descriptorStatus.DurationUntilReset = durationFromSeconds(quota.ResetS)
+				if tightest == nil || quota.Room < tightest.Quota.Room {
+					tightest = answer
 				}
 			}
 		}
-		if st.Code == rlsv3.RateLimitResponse_OVER_LIMIT {
-			out.OverallCode = rlsv3.RateLimitResponse_OVER_LIMIT
+		if descriptorStatus.Code == rlsv3.RateLimitResponse_OVER_LIMIT {
+			response.OverallCode = rlsv3.RateLimitResponse_OVER_LIMIT
 		}
-		out.Statuses = append(out.Statuses, st)
+		response.Statuses = append(response.Statuses, descriptorStatus)
 	}
-	if out.OverallCode == rlsv3.RateLimitResponse_OVER_LIMIT {
-		s.handBack(asked)
+	if response.OverallCode == rlsv3.RateLimitResponse_OVER_LIMIT {
+		srv.returnUnits(submitted)
 	}
-	if tight != nil {
-		q := tight.Quota
-		out.ResponseHeadersToAdd = headers(q)
-		if out.OverallCode == rlsv3.RateLimitResponse_OVER_LIMIT {
-			out.ResponseHeadersToAdd = append(out.ResponseHeadersToAdd, header("retry-after", math.Max(1, math.Ceil(q.RetryS))))
+	if tightest != nil {
+		quota := tightest.Quota
+		response.ResponseHeadersToAdd = rateLimitHeaders(quota)
+		if response.OverallCode == rlsv3.RateLimitResponse_OVER_LIMIT {
+			response.ResponseHeadersToAdd = append(response.ResponseHeadersToAdd, headerValue("retry-after", math.Max(1, math.Ceil(quota.RetryS))))
 		}
 	}
-	return out, nil
+	return response, nil
 }
 
-// headers are those of the IETF's draft on rate limit headers, for the tightest quota.
-func headers(q core.Quota) []*corev3.HeaderValue {
-	return []*corev3.HeaderValue{header("ratelimit-limit", math.Floor(q.Burst)), header("ratelimit-remaining", math.Floor(max(q.Room, 0))),
-		header("ratelimit-reset", math.Ceil(max(q.ResetS, 0)))}
+// rateLimitHeaders returns the headers of the IETF draft on rate limit header fields for the quota.
+func rateLimitHeaders(quota core.Quota) []*corev3.HeaderValue {
+	return []*corev3.HeaderValue{headerValue("ratelimit-limit", math.Floor(quota.Burst)), headerValue("ratelimit-remaining", math.Floor(max(quota.Room, 0))),
+		headerValue("ratelimit-reset", math.Ceil(max(quota.ResetS, 0)))}
 }
 
-func header(name string, x float64) *corev3.HeaderValue {
-	return &corev3.HeaderValue{Key: name, Value: strconv.FormatFloat(x, 'f', 0, 64)}
+// headerValue returns a header with a number rounded to a whole one.
+func headerValue(name string, value float64) *corev3.HeaderValue {
+	return &corev3.HeaderValue{Key: name, Value: strconv.FormatFloat(value, 'f', 0, 64)}
 }
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -41,69 +41,86 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// scripted is a core that answers by what the payload says, and counts units against one quota.
-type scripted struct {
-	mu    sync.Mutex
-	calls []*core.Call
-	gone  int
-	room  float64
-	held  chan *core.Call
+// fakeCore is a Core that answers as the payload says and counts units against one quota.
+type fakeCore struct {
+	mu        sync.Mutex
+	calls     []*core.Call
+	cancelled int
+	remaining float64
+	heldCalls chan *core.Call
 }
 
-func (s *scripted) Submit(calls []*core.Call) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, c := range calls {
-		s.calls = append(s.calls, c)
-		text := string(c.Payload)
-		a := core.Answer{Payload: []byte("+did " + c.Key + "\r\n")}
+func (fake *fakeCore) Submit(calls []*core.Call) int {
+	fake.mu.Lock()
+	defer fake.mu.Unlock()
+	for _, call := range calls {
+		fake.calls = append(fake.calls, call)
+		text := string(call.Payload)
+		answer := core.Answer{Payload: []byte("+did " + call.Key + "\r\n")}
 		switch {
 		case strings.Contains(text, "hold"):
-			s.held <- c
+			fake.heldCalls <- call
 			continue
 		case strings.Contains(text, "refuse"):
-			a = core.Answer{Kind: core.Refused, RetryS: 0.25, Why: "over quota"}
+			answer = core.Answer{Kind: core.Refused, RetryS: 0.25, Why: "over quota"}
 		case strings.Contains(text, "fail"):
-			a = core.Answer{Kind: core.Failed, Why: "may have run"}
-		case c.Limit && c.Units <= s.room:
-			s.room -= c.Units
-			a = core.Answer{Kind: core.Admitted, Quota: core.Quota{Rate: 10, Burst: 20, Room: s.room, ResetS: (20 - s.room) / 10}}
-		case c.Limit:
-			a = core.Answer{Kind: core.Refused, Quota: core.Quota{Rate: 10, Burst: 20, Room: s.room, RetryS: 0.3, ResetS: 2}}
+			answer = core.Answer{Kind: core.Failed, Why: "may have run"}
+		case call.Limit && call.Units <= fake.remaining:
+			fake.remaining -= call.Units
+			answer = core.Answer{Kind: core.Admitted, Quota: core.Quota{Rate: 10, Burst: 20, Room: fake.remaining, ResetS: (20 - fake.remaining) / 10}}
+		case call.Limit:
+			answer = core.Answer{Kind: core.Refused, Quota: core.Quota{Rate: 10, Burst: 20, Room: fake.remaining, RetryS: 0.3, ResetS: 2}}
 		}
-		give(c, a)
+		answerCall(call, answer)
 	}
 	return len(calls)
 }
 
-func give(c *core.Call, a core.Answer) {
-	c.Answer = a
-	c.Front.Answered([]*core.Call{c})
+// answerCall delivers an answer to the call's front end.
+func answerCall(call *core.Call, answer core.Answer) {
+	call.Answer = answer
+	call.Front.Answered([]*core.Call{call})
 }
 
-func (s *scripted) Gone(calls []*core.Call) { s.mu.Lock(); defer s.mu.Unlock(); s.gone += len(calls) }
+func (fake *fakeCore) Gone(calls []*core.Call) {
+	fake.mu.Lock()
+	defer fake.mu.Unlock()
+	fake.cancelled += len(calls)
+}
 
-func (s *scripted) Return(calls []*core.Call) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, c := range calls {
-		s.room += c.Units
+func (fake *fakeCore) Return(calls []*core.Call) {
+	fake.mu.Lock()
+	defer fake.mu.Unlock()
+	for _, call := range calls {
+		fake.remaining += call.Units
 	}
 }
 
-func (s *scripted) seen() int { s.mu.Lock(); defer s.mu.Unlock(); return len(s.calls) }
-func (s *scripted) left() int { s.mu.Lock(); defer s.mu.Unlock(); return s.gone }
+func (fake *fakeCore) submittedCount() int {
+	fake.mu.Lock()
+	defer fake.mu.Unlock()
+	return len(fake.calls)
+}
+func (fake *fakeCore) cancelledCount() int {
+	fake.mu.Lock()
+	defer fake.mu.Unlock()
+	return fake.cancelled
+}
 
-func (s *scripted) units() float64 { s.mu.Lock(); defer s.mu.Unlock(); return s.room }
+func (fake *fakeCore) remainingUnits() float64 {
+	fake.mu.Lock()
+	defer fake.mu.Unlock()
+	return fake.remaining
+}
 
-func settings(t testing.TB) *config.Config {
+func testConfig(t testing.TB) *config.Config {
 	t.Helper()
 	raw, err := os.ReadFile("../../examples/one.sexp")
 	if err != nil {
 		t.Fatal(err)
 	}
 	base, _, _ := strings.Cut(string(raw), "; The gRPC front")
-	c, err := config.Parse("one.sexp", base+fmt.Sprintf(`
+	parsed, err := config.Parse("one.sexp", base+fmt.Sprintf(`
 (grpc (listen "127.0.0.1:0") (ahead 8)
   (domain edge (secret-sha256 "%x") (unmatched refuse)
     (descriptor (entry kind sign) (customer client) (class sign-submit) (units 2))
@@ -113,17 +130,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return c
+	return parsed
 }
 
-func start(t testing.TB, change func(*config.GRPC)) (*Server, *scripted) {
+func startServer(t testing.TB, change func(*config.GRPC)) (*Server, *fakeCore) {
 	t.Helper()
-	cfg := settings(t)
+	cfg := testConfig(t)
 	if change != nil {
 		change(cfg.GRPC)
 	}
-	s := &scripted{room: 20, held: make(chan *core.Call, 20000)}
-	srv, err := Start(s, Options{GRPC: *cfg.GRPC, Book: access.New(cfg), Log: zerolog.Nop()})
+	fake := &fakeCore{remaining: 20, heldCalls: make(chan *core.Call, 20000)}
+	srv, err := Start(fake, Options{GRPC: *cfg.GRPC, Book: access.New(cfg), Log: zerolog.Nop()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -132,7 +149,7 @@
 		defer cancel()
 		srv.Stop(ctx)
 	})
-	return srv, s
+	return srv, fake
 }
 
 func dial(t testing.TB, srv *Server, creds credentials.TransportCredentials, opts ...grpc.DialOption) *grpc.ClientConn {
@@ -140,33 +157,33 @@
 	if creds == nil {
 		creds = insecure.NewCredentials()
 	}
-	c, err := grpc.NewClient(srv.Addr().String(), append(opts, grpc.WithTransportCredentials(creds))...)
+	conn, err := grpc.NewClient(srv.Addr().String(), append(opts, grpc.WithTransportCredentials(creds))...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	return c
+	t.Cleanup(func() { conn.Close() })
+	return conn
 }
 
-func as(name, secret string) context.Context {
+func withCredentials(name, secret string) context.Context {
 	return metadata.AppendToOutgoingContext(context.Background(), "authorization",
 		"Basic "+base64.StdEncoding.EncodeToString([]byte(name+":"+secret)))
 }
 
-func acme() context.Context { return as("acme", "acme-secret") }
+func acmeContext() context.Context { return withCredentials("acme", "acme-secret") }
 
-func words(list ...string) *pb.DoRequest {
-	r := &pb.DoRequest{}
-	for _, w := range list {
-		r.Words = append(r.Words, []byte(w))
+func doRequest(words ...string) *pb.DoRequest {
+	request := &pb.DoRequest{}
+	for _, word := range words {
+		request.Words = append(request.Words, []byte(word))
 	}
-	return r
+	return request
 }
 
 func TestDo(t *testing.T) {
-	srv, s := start(t, nil)
-	c := pb.NewGatewayClient(dial(t, srv, nil))
-	if r, err := c.Do(acme(), words("sign.submit", "k1", "img")); err != nil || string(r.GetReply()) != "+did k1\r\n" {
+	srv, fake := startServer(t, nil)
+	client := pb.NewGatewayClient(dial(t, srv, nil))
+	if r, err := client.Do(acmeContext(), doRequest("sign.submit", "k1", "img")); err != nil || string(r.GetReply()) != "+did k1\r\n" {
 		t.Fatal(r, err)
 	}
 	for name, x := range map[string]struct {
@@ -174,22 +191,22 @@
 		r    *pb.DoRequest
 		code codes.Code
 	}{
-		"no credentials":  {context.Background(), words("JOB.STATUS", "1"), codes.Unauthenticated},
-		"wrong secret":    {as("acme", "x"), words("JOB.STATUS", "1"), codes.Unauthenticated},
-		"unknown client":  {as("nobody", "acme-secret"), words("JOB.STATUS", "1"), codes.Unauthenticated},
-		"unknown command": {acme(), words("NOPE"), codes.InvalidArgument},
-		"wrong arity":     {acme(), words("JOB.STATUS"), codes.InvalidArgument},
-		"empty":           {acme(), words(), codes.InvalidArgument},
-		"refused":         {acme(), words("JOB.STATUS", "refuse"), codes.ResourceExhausted},
-		"failed":          {acme(), words("SIGN.SUBMIT", "k", "fail"), codes.Unknown},
-		"too large":       {acme(), words("JOB.STATUS", strings.Repeat("x", 2<<20)), codes.ResourceExhausted},
+		"no credentials":  {context.Background(), doRequest("JOB.STATUS", "1"), codes.Unauthenticated},
+		"wrong secret":    {withCredentials("acme", "x"), doRequest("JOB.STATUS", "1"), codes.Unauthenticated},
+		"unknown client":  {withCredentials("nobody", "acme-secret"), doRequest("JOB.STATUS", "1"), codes.Unauthenticated},
+		"unknown command": {acmeContext(), doRequest("NOPE"), codes.InvalidArgument},
+		"wrong arity":     {acmeContext(), doRequest("JOB.STATUS"), codes.InvalidArgument},
+		"empty":           {acmeContext(), doRequest(), codes.InvalidArgument},
+		"refused":         {acmeContext(), doRequest("JOB.STATUS", "refuse"), codes.ResourceExhausted},
+		"failed":          {acmeContext(), doRequest("SIGN.SUBMIT", "k", "fail"), codes.Unknown},
+		"too large":       {acmeContext(), doRequest("JOB.STATUS", strings.Repeat("x", 2<<20)), codes.ResourceExhausted},
 	} {
-		before := s.seen()
-		_, err := c.Do(x.ctx, x.r)
+		before := fake.submittedCount()
+		_, err := client.Do(x.ctx, x.r)
 		if status.Code(err) != x.code {
 			t.Errorf("%s: %v, want %v", name, err, x.code)
 		}
-		if n := s.seen() - before; n > 1 {
+		if n := fake.submittedCount() - before; n > 1 {
 			t.Errorf("%s: the core was asked %d times", name, n)
 		}
 		if name == "refused" {
@@ -201,47 +218,49 @@
 	}
 }
 
-// A deadline that has passed asks for nothing; one that passes later, or a cancelled call, is told to the core.
+// A call whose deadline has passed is not submitted. A deadline that passes later, or a cancelled call, is reported to
+// the core.
 func TestDeadlines(t *testing.T) {
-	srv, s := start(t, nil)
-	c := pb.NewGatewayClient(dial(t, srv, nil))
-	past, cancel := context.WithDeadline(acme(), time.Now().Add(-time.Second))
+	srv, fake := startServer(t, nil)
+	client := pb.NewGatewayClient(dial(t, srv, nil))
+	past, cancel := context.WithDeadline(acmeContext(), time.Now().Add(-time.Second))
 	defer cancel()
-	if _, err := c.Do(past, words("JOB.STATUS", "1")); status.Code(err) != codes.DeadlineExceeded || s.seen() != 0 {
-		t.Fatal(err, s.seen())
+	if _, err := client.Do(past, doRequest("JOB.STATUS", "1")); status.Code(err) != codes.DeadlineExceeded || fake.submittedCount() != 0 {
+		t.Fatal(err, fake.submittedCount())
 	}
-	// On arrival, past the client's own check: the server is handed a context that is over.
+	// The client library checks the deadline itself, so the server is called directly with an expired context.
 	over, cancel := context.WithDeadline(context.Background(), time.Now().Add(-time.Second))
 	defer cancel()
-	if err := srv.run(over, &core.Call{}); status.Code(err) != codes.DeadlineExceeded || s.seen() != 0 {
-		t.Fatal(err, s.seen())
+	if err := srv.submitAndWait(over, &core.Call{}); status.Code(err) != codes.DeadlineExceeded || fake.submittedCount() != 0 {
+		t.Fatal(err, fake.submittedCount())
 	}
-	soon, cancel := context.WithTimeout(acme(), 300*time.Millisecond)
+	soon, cancel := context.WithTimeout(acmeContext(), 300*time.Millisecond)
 	defer cancel()
-	if _, err := c.Do(soon, words("JOB.STATUS", "hold")); status.Code(err) != codes.DeadlineExceeded {
+	if _, err := client.Do(soon, doRequest("JOB.STATUS", "hold")); status.Code(err) != codes.DeadlineExceeded {
 		t.Fatal(err)
 	}
-	if k := <-s.held; k.WithinS <= 0 || k.WithinS > 0.3 {
-		t.Fatalf("the deadline came as %g s", k.WithinS)
+	if heldCall := <-fake.heldCalls; heldCall.WithinS <= 0 || heldCall.WithinS > 0.3 {
+		t.Fatalf("the deadline came as %g s", heldCall.WithinS)
 	}
-	wait(t, func() bool { return s.left() == 1 })
-	ctx, stop := context.WithCancel(acme())
+	waitUntil(t, func() bool { return fake.cancelledCount() == 1 })
+	ctx, stop := context.WithCancel(acmeContext())
 	done := make(chan error, 1)
-	go func() { _, err := c.Do(ctx, words("JOB.STATUS", "hold")); done <- err }()
-	k := <-s.held
+	go func() { _, err := client.Do(ctx, doRequest("JOB.STATUS", "hold")); done <- err }()
+	heldCall := <-fake.heldCalls
 	stop()
 	if err := <-done; status.Code(err) != codes.Canceled {
 		t.Fatal(err)
 	}
-	wait(t, func() bool { return s.left() == 2 })
-	give(k, core.Answer{}) // late: it reaches nobody and blocks nobody
+	waitUntil(t, func() bool { return fake.cancelledCount() == 2 })
+	answerCall(heldCall, core.Answer{}) // a late answer is dropped and must not block
 }
 
-func wait(t *testing.T, done func() bool) {
+// waitUntil polls until done returns true and fails the test after 20 s.
+func waitUntil(t *testing.T, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !done(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it did not come about in 20 s")
+			t.Fatal("condition not met within 20 s")
 		}
 	}
 }
@@ -255,30 +274,30 @@
 }
 
 func TestShouldRateLimit(t *testing.T) {
-	srv, s := start(t, nil)
-	c := rlsv3.NewRateLimitServiceClient(dial(t, srv, nil))
-	edge, open := as("edge", "edge-secret"), as("open", "open-secret")
+	srv, fake := startServer(t, nil)
+	client := rlsv3.NewRateLimitServiceClient(dial(t, srv, nil))
+	edge, open := withCredentials("edge", "edge-secret"), withCredentials("open", "open-secret")
 	ask := func(ctx context.Context, domain string, hits uint32, list ...*ratelimitv3.RateLimitDescriptor) (*rlsv3.RateLimitResponse, error) {
-		return c.ShouldRateLimit(ctx, &rlsv3.RateLimitRequest{Domain: domain, HitsAddend: hits, Descriptors: list})
+		return client.ShouldRateLimit(ctx, &rlsv3.RateLimitRequest{Domain: domain, HitsAddend: hits, Descriptors: list})
 	}
 	r, err := ask(edge, "edge", 5, descriptor("client", "acme"))
-	if err != nil || r.GetOverallCode() != rlsv3.RateLimitResponse_OK || s.units() != 15 {
-		t.Fatal(r, err, s.units())
+	if err != nil || r.GetOverallCode() != rlsv3.RateLimitResponse_OK || fake.remainingUnits() != 15 {
+		t.Fatal(r, err, fake.remainingUnits())
 	}
-	st := r.GetStatuses()[0]
-	if st.GetLimitRemaining() != 15 || st.GetCurrentLimit().GetRequestsPerUnit() != 10 || st.GetDurationUntilReset().AsDuration() != 500*time.Millisecond {
-		t.Fatal(st)
+	descriptorStatus := r.GetStatuses()[0]
+	if descriptorStatus.GetLimitRemaining() != 15 || descriptorStatus.GetCurrentLimit().GetRequestsPerUnit() != 10 || descriptorStatus.GetDurationUntilReset().AsDuration() != 500*time.Millisecond {
+		t.Fatal(descriptorStatus)
 	}
 	if h := r.GetResponseHeadersToAdd(); len(h) != 3 || h[1].GetKey() != "ratelimit-remaining" || h[1].GetValue() != "15" {
 		t.Fatal(h)
 	}
-	if _, err := ask(edge, "edge", 0, descriptor("kind", "sign", "client", "acme")); err != nil || s.units() != 13 {
-		t.Fatal("one hit of two units", err, s.units())
+	if _, err := ask(edge, "edge", 0, descriptor("kind", "sign", "client", "acme")); err != nil || fake.remainingUnits() != 13 {
+		t.Fatal("one hit of two units", err, fake.remainingUnits())
 	}
-	// Over limit by one of several: what the others took is handed back.
+	// One of several descriptors is over limit: the units taken for the others are returned.
 	r, err = ask(edge, "edge", 10, descriptor("client", "acme"), descriptor("client", "acme"))
-	if err != nil || r.GetOverallCode() != rlsv3.RateLimitResponse_OVER_LIMIT || s.units() != 13 {
-		t.Fatal(r, err, s.units())
+	if err != nil || r.GetOverallCode() != rlsv3.RateLimitResponse_OVER_LIMIT || fake.remainingUnits() != 13 {
+		t.Fatal(r, err, fake.remainingUnits())
 	}
 	if a, b := r.GetStatuses()[0].GetCode(), r.GetStatuses()[1].GetCode(); a != rlsv3.RateLimitResponse_OK || b != rlsv3.RateLimitResponse_OVER_LIMIT {
 		t.Fatal(a, b)
@@ -294,7 +313,7 @@
 	if _, err := ask(open, "edge", 1, descriptor("client", "acme")); status.Code(err) != codes.Unauthenticated {
 		t.Error("another domain's secret:", err)
 	}
-	if _, err := ask(acme(), "edge", 1, descriptor("client", "acme")); status.Code(err) != codes.Unauthenticated {
+	if _, err := ask(acmeContext(), "edge", 1, descriptor("client", "acme")); status.Code(err) != codes.Unauthenticated {
 		t.Error("a client's secret:", err)
 	}
 	if _, err := ask(edge, "edge", 61, descriptor("client", "acme")); status.Code(err) != codes.InvalidArgument {
@@ -303,131 +322,132 @@
 	if _, err := ask(edge, "edge", 1); status.Code(err) != codes.InvalidArgument {
 		t.Error("no descriptors:", err)
 	}
-	if s.units() != 13 {
-		t.Error("units", s.units())
+	if fake.remainingUnits() != 13 {
+		t.Error("units", fake.remainingUnits())
 	}
 }
 
-// Answers of a stream come in any order, each with its request's id; what makes no sense is told so.
+// Answers on a stream may come in any order, each with the id of its request; an invalid request is answered as such.
 func TestStream(t *testing.T) {
-	srv, s := start(t, nil)
-	st, err := pb.NewGatewayClient(dial(t, srv, nil)).Stream(acme())
+	srv, fake := startServer(t, nil)
+	stream, err := pb.NewGatewayClient(dial(t, srv, nil)).Stream(acmeContext())
 	if err != nil {
 		t.Fatal(err)
 	}
 	send := func(id uint64, r *pb.DoRequest) {
-		if err := st.Send(&pb.StreamRequest{Id: id, Request: r, WithinMs: 500}); err != nil {
+		if err := stream.Send(&pb.StreamRequest{Id: id, Request: r, WithinMs: 500}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	recv := func() *pb.StreamResponse {
-		r, err := st.Recv()
+		r, err := stream.Recv()
 		if err != nil {
 			t.Fatal(err)
 		}
 		return r
 	}
-	send(1, words("JOB.STATUS", "hold"))
-	held := <-s.held
+	send(1, doRequest("JOB.STATUS", "hold"))
+	held := <-fake.heldCalls
 	if held.WithinS != 0.5 {
 		t.Errorf("within %g s", held.WithinS)
 	}
-	send(2, words("SIGN.SUBMIT", "k2", "x"))
+	send(2, doRequest("SIGN.SUBMIT", "k2", "x"))
 	if r := recv(); r.GetId() != 2 || string(r.GetResponse().GetReply()) != "+did k2\r\n" {
 		t.Fatal(r)
 	}
-	send(3, words("JOB.STATUS", "refuse"))
+	send(3, doRequest("JOB.STATUS", "refuse"))
 	if r := recv(); r.GetId() != 3 || r.GetRefused().GetRetryMs() != 250 {
 		t.Fatal(r)
 	}
-	send(4, words("JOB.STATUS", "fail"))
+	send(4, doRequest("JOB.STATUS", "fail"))
 	if r := recv(); r.GetId() != 4 || r.GetFailed().GetWhy() == "" {
 		t.Fatal(r)
 	}
-	send(5, words("NOPE"))
+	send(5, doRequest("NOPE"))
 	if r := recv(); r.GetId() != 5 || !strings.Contains(r.GetInvalid(), "unknown command") {
 		t.Fatal(r)
 	}
-	give(held, core.Answer{Payload: []byte("+late\r\n")})
+	answerCall(held, core.Answer{Payload: []byte("+late\r\n")})
 	if r := recv(); r.GetId() != 1 || string(r.GetResponse().GetReply()) != "+late\r\n" {
 		t.Fatal(r)
 	}
-	if err := st.CloseSend(); err != nil {
+	if err := stream.CloseSend(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := st.Recv(); err != io.EOF {
+	if _, err := stream.Recv(); err != io.EOF {
 		t.Fatal(err)
 	}
 }
 
-// A client that sends and never reads is no longer read once its places are taken, and others go on.
+// The server stops reading from a client that never reads its answers once its slots are in use; other clients are
+// not affected.
 func TestClientThatNeverReads(t *testing.T) {
-	srv, s := start(t, nil)
+	srv, fake := startServer(t, nil)
 	conn := dial(t, srv, nil, grpc.WithInitialWindowSize(64<<10))
-	ctx, cancel := context.WithCancel(acme())
+	ctx, cancel := context.WithCancel(acmeContext())
 	defer cancel()
-	st, err := pb.NewGatewayClient(conn).Stream(ctx)
+	stream, err := pb.NewGatewayClient(conn).Stream(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 20 {
-		if err := st.Send(&pb.StreamRequest{Id: uint64(i), Request: words("JOB.STATUS", "hold")}); err != nil {
+		if err := stream.Send(&pb.StreamRequest{Id: uint64(i), Request: doRequest("JOB.STATUS", "hold")}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	wait(t, func() bool { return s.seen() == 8 })
-	if _, err := pb.NewGatewayClient(dial(t, srv, nil)).Do(acme(), words("JOB.STATUS", "1")); err != nil {
+	waitUntil(t, func() bool { return fake.submittedCount() == 8 })
+	if _, err := pb.NewGatewayClient(dial(t, srv, nil)).Do(acmeContext(), doRequest("JOB.STATUS", "1")); err != nil {
 		t.Fatal(err)
 	}
-	if n := s.seen(); n != 9 {
+	if n := fake.submittedCount(); n != 9 {
 		t.Fatalf("%d requests came to the core, want the 8 of the stream and one", n)
 	}
 	cancel()
-	wait(t, func() bool { return s.left() == 8 })
+	waitUntil(t, func() bool { return fake.cancelledCount() == 8 })
 }
 
-// 10,000 calls at once on one connection, ten times what it may have open: all are answered, none twice.
+// 10,000 concurrent calls on one connection, ten times its limit of open streams: all are answered, none twice.
 func TestManyStreams(t *testing.T) {
-	srv, s := start(t, nil)
-	c := pb.NewGatewayClient(dial(t, srv, nil))
+	srv, fake := startServer(t, nil)
+	client := pb.NewGatewayClient(dial(t, srv, nil))
 	var work sync.WaitGroup
 	for i := range 10_000 {
 		work.Add(1)
 		go func() {
 			defer work.Done()
 			k := fmt.Sprint("k", i)
-			if r, err := c.Do(acme(), words("SIGN.SUBMIT", k, "x")); err != nil || string(r.GetReply()) != "+did "+k+"\r\n" {
+			if r, err := client.Do(acmeContext(), doRequest("SIGN.SUBMIT", k, "x")); err != nil || string(r.GetReply()) != "+did "+k+"\r\n" {
 				t.Errorf("%s: %v %v", k, r, err)
 			}
 		}()
 	}
 	work.Wait()
-	if s.seen() != 10_000 {
-		t.Errorf("the core was asked %d times", s.seen())
+	if fake.submittedCount() != 10_000 {
+		t.Errorf("the core was asked %d times", fake.submittedCount())
 	}
 }
 
-// A stop sends GOAWAY: calls and streams under way get their answers, and nothing runs twice, though the
-// client would repeat by itself what was never taken.
+// Stop sends GOAWAY: calls and streams in flight get their answers. Nothing runs twice, although the client library
+// retries by itself calls that the server never accepted.
 func TestDrain(t *testing.T) {
-	srv, s := start(t, nil)
+	srv, fake := startServer(t, nil)
 	conn := dial(t, srv, nil)
-	c := pb.NewGatewayClient(conn)
+	client := pb.NewGatewayClient(conn)
 	type end struct {
 		r   *pb.DoResponse
 		err error
 	}
 	done := make(chan end, 1)
-	go func() { r, err := c.Do(acme(), words("JOB.STATUS", "hold")); done <- end{r, err} }()
-	call := <-s.held
-	st, err := c.Stream(acme())
+	go func() { r, err := client.Do(acmeContext(), doRequest("JOB.STATUS", "hold")); done <- end{r, err} }()
+	call := <-fake.heldCalls
+	stream, err := client.Stream(acmeContext())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := st.Send(&pb.StreamRequest{Id: 7, Request: words("JOB.STATUS", "hold")}); err != nil {
+	if err := stream.Send(&pb.StreamRequest{Id: 7, Request: doRequest("JOB.STATUS", "hold")}); err != nil {
 		t.Fatal(err)
 	}
-	streamed := <-s.held
+	streamed := <-fake.heldCalls
 	health := healthv1.NewHealthClient(conn)
 	if r, err := health.Check(context.Background(), &healthv1.HealthCheckRequest{}); err != nil || r.GetStatus() != healthv1.HealthCheckResponse_SERVING {
 		t.Fatal(r, err)
@@ -438,48 +458,48 @@
 	}
 	stopped := make(chan struct{})
 	go func() { defer close(stopped); srv.Stop(context.Background()) }()
-	give(call, core.Answer{Payload: []byte("+one\r\n")})
-	give(streamed, core.Answer{Payload: []byte("+two\r\n")})
+	answerCall(call, core.Answer{Payload: []byte("+one\r\n")})
+	answerCall(streamed, core.Answer{Payload: []byte("+two\r\n")})
 	if e := <-done; e.err != nil || string(e.r.GetReply()) != "+one\r\n" {
 		t.Fatal(e)
 	}
-	if r, err := st.Recv(); err != nil || r.GetId() != 7 || string(r.GetResponse().GetReply()) != "+two\r\n" {
+	if r, err := stream.Recv(); err != nil || r.GetId() != 7 || string(r.GetResponse().GetReply()) != "+two\r\n" {
 		t.Fatal(r, err)
 	}
-	if _, err := st.Recv(); status.Code(err) != codes.Unavailable {
+	if _, err := stream.Recv(); status.Code(err) != codes.Unavailable {
 		t.Fatal(err)
 	}
 	<-stopped
-	if _, err := c.Do(acme(), words("JOB.STATUS", "1")); status.Code(err) != codes.Unavailable {
+	if _, err := client.Do(acmeContext(), doRequest("JOB.STATUS", "1")); status.Code(err) != codes.Unavailable {
 		t.Fatal(err)
 	}
-	if s.seen() != 2 {
-		t.Errorf("the core was asked %d times, want 2", s.seen())
+	if fake.submittedCount() != 2 {
+		t.Errorf("the core was asked %d times, want 2", fake.submittedCount())
 	}
 }
 
-// A connection that breaks under a call: the call ends in an error and is not sent again by the library.
+// A call whose connection breaks ends in an error and is not retried by the client library.
 func TestBrokenConnectionRepeatsNothing(t *testing.T) {
-	srv, s := start(t, nil)
-	c := pb.NewGatewayClient(dial(t, srv, nil))
+	srv, fake := startServer(t, nil)
+	client := pb.NewGatewayClient(dial(t, srv, nil))
 	done := make(chan error, 1)
-	go func() { _, err := c.Do(acme(), words("SIGN.SUBMIT", "k", "hold")); done <- err }()
-	<-s.held
-	srv.server.Stop() // as a kill looks to the client
+	go func() { _, err := client.Do(acmeContext(), doRequest("SIGN.SUBMIT", "k", "hold")); done <- err }()
+	<-fake.heldCalls
+	srv.grpcServer.Stop() // to the client this looks like a killed process
 	if err := <-done; status.Code(err) != codes.Unavailable {
 		t.Fatal(err)
 	}
-	if s.seen() != 1 {
-		t.Fatalf("the core was asked %d times", s.seen())
+	if fake.submittedCount() != 1 {
+		t.Fatalf("the core was asked %d times", fake.submittedCount())
 	}
 }
 
-// A connection too many is closed; those that stand go on, and a place given back is taken again.
+// A connection beyond the limit is closed, open ones continue, and a closed one makes room for another.
 func TestConnectionsAreBounded(t *testing.T) {
-	srv, _ := start(t, func(g *config.GRPC) { g.Connections = 1 })
+	srv, _ := startServer(t, func(g *config.GRPC) { g.Connections = 1 })
 	first, second := dial(t, srv, nil), dial(t, srv, nil)
 	ask := func(c *grpc.ClientConn) error {
-		_, err := pb.NewGatewayClient(c).Do(acme(), words("JOB.STATUS", "1"))
+		_, err := pb.NewGatewayClient(c).Do(acmeContext(), doRequest("JOB.STATUS", "1"))
 		return err
 	}
 	if err := ask(first); err != nil {
@@ -492,49 +512,50 @@
 		t.Fatal(err)
 	}
 	first.Close()
-	wait(t, func() bool { return ask(second) == nil })
+	waitUntil(t, func() bool { return ask(second) == nil })
 }
 
-// authority makes certificates for a test.
-type authority struct {
+// certificateAuthority issues certificates for a test.
+type certificateAuthority struct {
 	t    *testing.T
 	dir  string
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-func (a *authority) issue(name string, server bool) (certFile, keyFile string) {
-	a.t.Helper()
+// issue writes a certificate and its key to files. The first one issued is that of the authority itself.
+func (ca *certificateAuthority) issue(name string, server bool) (certFile, keyFile string) {
+	ca.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		a.t.Fatal(err)
+		ca.t.Fatal(err)
 	}
 	tmpl := &x509.Certificate{SerialNumber: big.NewInt(time.Now().UnixNano()), Subject: pkix.Name{CommonName: name},
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), DNSNames: []string{"localhost"},
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}, KeyUsage: x509.KeyUsageDigitalSignature}
-	parent, signer := a.cert, a.key
+	parent, signer := ca.cert, ca.key
 	if parent == nil {
 		tmpl.IsCA, tmpl.BasicConstraintsValid, tmpl.KeyUsage = true, true, x509.KeyUsageCertSign
 		parent, signer = tmpl, key
 	}
 	der, err := x509.CreateCertificate(rand.Reader, tmpl, parent, &key.PublicKey, signer)
 	if err != nil {
-		a.t.Fatal(err)
+		ca.t.Fatal(err)
 	}
-	if a.cert == nil {
-		a.key = key
-		if a.cert, err = x509.ParseCertificate(der); err != nil {
-			a.t.Fatal(err)
+	if ca.cert == nil {
+		ca.key = key
+		if ca.cert, err = x509.ParseCertificate(der); err != nil {
+			ca.t.Fatal(err)
 		}
 	}
 	raw, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
-		a.t.Fatal(err)
+		ca.t.Fatal(err)
 	}
 	write := func(kind, file string, b []byte) string {
-		path := filepath.Join(a.dir, name+file)
+		path := filepath.Join(ca.dir, name+file)
 		if err := os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: b}), 0o600); err != nil {
-			a.t.Fatal(err)
+			ca.t.Fatal(err)
 		}
 		return path
 	}
@@ -542,16 +563,16 @@
 }
 
 func TestTLS(t *testing.T) {
-	a := &authority{t: t, dir: t.TempDir()}
+	a := &certificateAuthority{t: t, dir: t.TempDir()}
 	ca, _ := a.issue("authority", false)
 	cert, key := a.issue("server", true)
-	srv, _ := start(t, func(g *config.GRPC) { g.Certificate, g.Key, g.CAs = cert, key, ca })
+	srv, _ := startServer(t, func(g *config.GRPC) { g.Certificate, g.Key, g.CAs = cert, key, ca })
 	pool := x509.NewCertPool()
 	pool.AddCert(a.cert)
 	ask := func(ctx context.Context, change func(*tls.Config)) error {
 		tc := &tls.Config{RootCAs: pool, ServerName: "localhost"}
 		change(tc)
-		_, err := pb.NewGatewayClient(dial(t, srv, credentials.NewTLS(tc))).Do(ctx, words("JOB.STATUS", "1"))
+		_, err := pb.NewGatewayClient(dial(t, srv, credentials.NewTLS(tc))).Do(ctx, doRequest("JOB.STATUS", "1"))
 		return err
 	}
 	with := func(name string) func(*tls.Config) {
@@ -565,23 +586,23 @@
 	if err := ask(context.Background(), with("acme")); err != nil {
 		t.Error("a client's certificate:", err)
 	}
-	if err := ask(acme(), with("nobody")); status.Code(err) != codes.Unauthenticated {
+	if err := ask(acmeContext(), with("nobody")); status.Code(err) != codes.Unauthenticated {
 		t.Error("a certificate of no client is not made up for by a secret:", err)
 	}
-	if err := ask(acme(), func(*tls.Config) {}); err != nil {
+	if err := ask(acmeContext(), func(*tls.Config) {}); err != nil {
 		t.Error("a secret over TLS:", err)
 	}
-	if err := ask(acme(), func(tc *tls.Config) { tc.MaxVersion = tls.VersionTLS12 }); status.Code(err) != codes.Unavailable {
+	if err := ask(acmeContext(), func(tc *tls.Config) { tc.MaxVersion = tls.VersionTLS12 }); status.Code(err) != codes.Unavailable {
 		t.Error("TLS 1.2:", err)
 	}
-	other := &authority{t: t, dir: t.TempDir()}
+	other := &certificateAuthority{t: t, dir: t.TempDir()}
 	other.issue("authority", false)
 	c, k := other.issue("acme", false)
 	pair, err := tls.LoadX509KeyPair(c, k)
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Sent whatever authorities the server names, as a forger would.
+	// Sends the certificate regardless of the authorities that the server accepts, as an attacker would.
 	forge := func(tc *tls.Config) {
 		tc.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &pair, nil }
 	}
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -1,5 +1,5 @@
-// Package rpc is the gRPC front: Envoy's rate limit service for limits, and a work service of our own. It
-// asks the same core as the RESP front, with the same customers and quotas, and decides nothing.
+// Package rpc is the gRPC front end: Envoy's rate limit service and the gateway's own work service. It submits
+// calls to the same core as the RESP front end, with the same customers and quotas, and makes no decisions.
 package rpc
 
 import (
@@ -36,7 +36,7 @@
 	"cometpond/internal/syserr"
 )
 
-// Core is what this front needs of the core.
+// Core is the part of the core that this front end uses.
 type Core interface {
 	Submit(calls []*core.Call) int
 	Gone(calls []*core.Call)
@@ -52,262 +52,267 @@
 
 // Counts are totals since the start.
 type Counts struct {
-	Calls, StreamRequests, OpenStreams, DeniedCalls uint64 // rpcs, requests of streams, streams open now, rpcs without credentials
+	Calls, StreamRequests, OpenStreams, DeniedCalls uint64 // RPCs, requests on streams, streams open now, RPCs without valid credentials
 	RejectedConnections                             uint64 // connections closed because too many were open
 }
 
-// Server is the gRPC front.
+// Server is the gRPC front end.
 type Server struct {
 	pb.UnimplementedGatewayServer
 	rlsv3.UnimplementedRateLimitServiceServer
-	opt    Options
-	core   Core
-	server *grpc.Server
-	health *health.Server
-	ln     net.Listener
-	served sync.WaitGroup
-	drain  chan struct{} // closed when the server drains
-	once   sync.Once
+	options    Options
+	core       Core
+	grpcServer *grpc.Server
+	health     *health.Server
+	listener   net.Listener
+	serving    sync.WaitGroup
+	draining   chan struct{} // closed when the server drains
+	drainOnce  sync.Once
 
-	calls, requests, denied, cut atomic.Uint64
-	open                         atomic.Int64
+	calls, streamRequests, deniedCalls, rejectedConnections atomic.Uint64
+	openStreams                                             atomic.Int64
 }
 
-// listenFor is how long Start waits for an address that it can't have at once.
-const listenFor = 2 * time.Second
+// listenTimeout is how long Start retries to listen on an address that is not available yet.
+const listenTimeout = 2 * time.Second
 
-// Start listens and serves until Stop.
-func Start(c Core, opt Options) (*Server, error) {
-	s := &Server{opt: opt, core: c, drain: make(chan struct{}), health: health.NewServer()}
-	options := []grpc.ServerOption{
-		grpc.MaxConcurrentStreams(uint32(opt.Streams)), grpc.MaxRecvMsgSize(opt.Message),
+// Start listens and serves until Stop is called.
+func Start(gatewayCore Core, options Options) (*Server, error) {
+	srv := &Server{options: options, core: gatewayCore, draining: make(chan struct{}), health: health.NewServer()}
+	serverOptions := []grpc.ServerOption{
+		grpc.MaxConcurrentStreams(uint32(options.Streams)), grpc.MaxRecvMsgSize(options.Message),
 		grpc.MaxHeaderListSize(16 << 10), grpc.ConnectionTimeout(10 * time.Second),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 30 * time.Second, Timeout: 10 * time.Second}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true}),
 	}
-	if opt.Certificate != "" {
-		creds, err := transport(opt.GRPC)
+	if options.Certificate != "" {
+		creds, err := transportCredentials(options.GRPC)
 		if err != nil {
 			return nil, err
 		}
-		options = append(options, grpc.Creds(creds))
+		serverOptions = append(serverOptions, grpc.Creds(creds))
 	}
-	s.server = grpc.NewServer(options...)
-	pb.RegisterGatewayServer(s.server, s)
-	if len(opt.Domains) > 0 {
-		rlsv3.RegisterRateLimitServiceServer(s.server, s)
+	srv.grpcServer = grpc.NewServer(serverOptions...)
+	pb.RegisterGatewayServer(srv.grpcServer, srv)
+	if len(options.Domains) > 0 {
+		rlsv3.RegisterRateLimitServiceServer(srv.grpcServer, srv)
 	}
-	healthv1.RegisterHealthServer(s.server, s.health)
-	reflection.Register(s.server)
-	ctx, cancel := context.WithTimeout(context.Background(), listenFor)
+	healthv1.RegisterHealthServer(srv.grpcServer, srv.health)
+	reflection.Register(srv.grpcServer)
+	ctx, cancel := context.WithTimeout(context.Background(), listenTimeout)
 	defer cancel()
-	var ln net.Listener
+	var listener net.Listener
 	err := syserr.Retry(ctx, syserr.ListenRetryable, func() (err error) {
-		ln, err = net.Listen("tcp", opt.Listen)
+		listener, err = net.Listen("tcp", options.Listen)
 		return err
 	})
 	if err != nil {
-		return nil, fmt.Errorf("listen on %s: %w", opt.Listen, err)
+		return nil, fmt.Errorf("listen on %srv: %w", options.Listen, err)
 	}
-	s.ln = &bounded{Listener: ln, most: int64(opt.Connections), cut: &s.cut, log: opt.Log}
-	s.served.Add(1)
+	srv.listener = &limitedListener{Listener: listener, maxOpen: int64(options.Connections), rejected: &srv.rejectedConnections, log: options.Log}
+	srv.serving.Add(1)
 	go func() {
-		defer s.served.Done()
-		if err := s.server.Serve(s.ln); err != nil {
-			opt.Log.Error().Err(err).Msg("gRPC front ended")
+		defer srv.serving.Done()
+		if err := srv.grpcServer.Serve(srv.listener); err != nil {
+			options.Log.Error().Err(err).Msg("gRPC server ended")
 		}
 	}()
-	return s, nil
+	return srv, nil
 }
 
-// bounded is a listener that closes connections beyond a number, so that what is open goes on undisturbed.
-type bounded struct {
+// limitedListener closes new connections beyond a maximum, so that those already open are not disturbed.
+type limitedListener struct {
 	net.Listener
-	most int64
-	open atomic.Int64
-	cut  *atomic.Uint64
-	log  zerolog.Logger
+	maxOpen  int64
+	open     atomic.Int64
+	rejected *atomic.Uint64
+	log      zerolog.Logger
 }
 
-// Accept returns the next connection for which there is room. It ends with the listener alone: the server would end with
-// any other error.
-func (b *bounded) Accept() (net.Conn, error) {
+// Accept returns the next connection within the limit. It returns an error only when the listener is closed and
+// retries after any other, because the gRPC server ends when Accept fails.
+func (limited *limitedListener) Accept() (net.Conn, error) {
 	var pause syserr.Backoff
 	for {
-		c, err := b.Listener.Accept()
+		conn, err := limited.Listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return nil, err
 		} else if err != nil {
 			wait := pause.Next()
-			b.log.Warn().Err(err).Dur("pause_ms", wait).Msg("a connection could not be taken")
+			limited.log.Warn().Err(err).Dur("pause_ms", wait).Msg("accept failed; retrying")
 			time.Sleep(wait)
 			continue
 		}
-		if b.open.Add(1) <= b.most {
-			return &counted{Conn: c, open: &b.open}, nil
+		if limited.open.Add(1) <= limited.maxOpen {
+			return &limitedConn{Conn: conn, open: &limited.open}, nil
 		}
-		b.open.Add(-1)
-		b.cut.Add(1)
-		c.Close()
+		limited.open.Add(-1)
+		limited.rejected.Add(1)
+		conn.Close()
 	}
 }
 
-// counted gives its place back when it is closed.
-type counted struct {
+// limitedConn is a connection that is no longer counted as open once it is closed.
+type limitedConn struct {
 	net.Conn
 	open *atomic.Int64
 	once sync.Once
 }
 
-func (c *counted) Close() error {
-	c.once.Do(func() { c.open.Add(-1) })
-	return c.Conn.Close()
+// Close closes the connection and frees its place under the limit.
+func (conn *limitedConn) Close() error {
+	conn.once.Do(func() { conn.open.Add(-1) })
+	return conn.Conn.Close()
 }
 
-// transport reads the files of TLS: 1.3 at least, and clients' certificates where an authority is given.
-func transport(g config.GRPC) (credentials.TransportCredentials, error) {
-	pair, err := tls.LoadX509KeyPair(g.Certificate, g.Key)
+// transportCredentials loads the TLS files. It requires TLS 1.3 and, if an authority is configured, verifies the
+// certificates of clients.
+func transportCredentials(settings config.GRPC) (credentials.TransportCredentials, error) {
+	pair, err := tls.LoadX509KeyPair(settings.Certificate, settings.Key)
 	if err != nil {
 		return nil, fmt.Errorf("TLS certificate: %w", err)
 	}
-	t := &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS13}
-	if g.CAs != "" {
-		raw, err := os.ReadFile(g.CAs)
+	tlsConfig := &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS13}
+	if settings.CAs != "" {
+		raw, err := os.ReadFile(settings.CAs)
 		if err != nil {
 			return nil, fmt.Errorf("authority of clients: %w", err)
 		}
-		t.ClientCAs = x509.NewCertPool()
-		if !t.ClientCAs.AppendCertsFromPEM(raw) {
-			return nil, fmt.Errorf("authority of clients: %s holds no certificate in PEM", g.CAs)
+		tlsConfig.ClientCAs = x509.NewCertPool()
+		if !tlsConfig.ClientCAs.AppendCertsFromPEM(raw) {
+			return nil, fmt.Errorf("authority of clients: %s holds no certificate in PEM", settings.CAs)
 		}
-		// Callers without one may still give credentials in metadata, as rate limit callers do.
-		t.ClientAuth = tls.VerifyClientCertIfGiven
+		// Callers without a certificate may send credentials in metadata, as rate limit callers do.
+		tlsConfig.ClientAuth = tls.VerifyClientCertIfGiven
 	}
-	return credentials.NewTLS(t), nil
+	return credentials.NewTLS(tlsConfig), nil
 }
 
-// Addr is the address that the server listens on.
-func (s *Server) Addr() net.Addr { return s.ln.Addr() }
+// Addr returns the address that the server listens on.
+func (srv *Server) Addr() net.Addr { return srv.listener.Addr() }
 
-// Drain tells health checks and streams that the server is going. Calls under way go on.
-func (s *Server) Drain() {
-	s.once.Do(func() {
-		s.health.Shutdown()
-		close(s.drain)
+// Drain reports the server as not serving to health checks and ends streams. Calls in flight continue.
+func (srv *Server) Drain() {
+	srv.drainOnce.Do(func() {
+		srv.health.Shutdown()
+		close(srv.draining)
 	})
 }
 
-// Stop sends GOAWAY and waits for the calls under way; once ctx is over it breaks what is left.
-func (s *Server) Stop(ctx context.Context) {
-	s.Drain()
+// Stop sends GOAWAY and waits for calls in flight; when ctx ends it aborts the remaining ones.
+func (srv *Server) Stop(ctx context.Context) {
+	srv.Drain()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		s.server.GracefulStop()
+		srv.grpcServer.GracefulStop()
 	}()
 	select {
 	case <-done:
 	case <-ctx.Done():
-		s.server.Stop()
+		srv.grpcServer.Stop()
 		<-done
 	}
-	s.served.Wait()
+	srv.serving.Wait()
 }
 
 // Counts returns the totals so far.
-func (s *Server) Counts() Counts {
-	return Counts{s.calls.Load(), s.requests.Load(), uint64(s.open.Load()), s.denied.Load(), s.cut.Load()}
+func (srv *Server) Counts() Counts {
+	return Counts{srv.calls.Load(), srv.streamRequests.Load(), uint64(srv.openStreams.Load()), srv.deniedCalls.Load(), srv.rejectedConnections.Load()}
 }
 
-// waiter gets calls back from the core: it hands each to the rpc that waits for it.
-type waiter struct{}
+// answerReceiver takes answered calls from the core and passes each to the RPC that waits for it.
+type answerReceiver struct{}
 
-// Answered never blocks: the channel in a call's tag has room for all of its rpc's calls.
-func (waiter) Answered(calls []*core.Call) {
-	for _, c := range calls {
-		c.Tag.(chan *core.Call) <- c
+// Answered never blocks: the channel in a call's tag has capacity for all calls of its RPC.
+func (answerReceiver) Answered(calls []*core.Call) {
+	for _, call := range calls {
+		call.Tag.(chan *core.Call) <- call
 	}
 }
 
-var errDenied = status.Error(codes.Unauthenticated, "no good credentials: want a client's certificate, or authorization: Basic with its name and secret")
+// errUnauthenticated ends RPCs of the work service without valid credentials.
+var errUnauthenticated = status.Error(codes.Unauthenticated, "no good credentials: want a client's certificate, or authorization: Basic with its name and secret")
 
-// ended is the status of a call that was not served.
-func ended(a *core.Answer) error {
-	switch a.Kind {
+// statusError returns the gRPC status of a call that was refused or failed, nil for any other.
+func statusError(answer *core.Answer) error {
+	switch answer.Kind {
 	case core.Refused:
-		st := status.New(codes.ResourceExhausted, a.Why)
-		if a.RetryS > 0 {
-			with, err := st.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(time.Duration(a.RetryS * 1e9))})
-			if err == nil { // it fails for messages of no registered type alone
-				st = with
+		refused := status.New(codes.ResourceExhausted, answer.Why)
+		if answer.RetryS > 0 {
+			detailed, err := refused.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(time.Duration(answer.RetryS * 1e9))})
+			if err == nil { // it fails only for messages of an unregistered type
+				refused = detailed
 			}
 		}
-		return st.Err()
+		return refused.Err()
 	case core.Failed:
-		return status.Error(codes.Unknown, a.Why)
+		return status.Error(codes.Unknown, answer.Why)
 	}
 	return nil
 }
 
-// run submits one call and waits for its answer, or tells the core that the caller is gone.
-func (s *Server) run(ctx context.Context, c *core.Call) error {
+// submitAndWait submits one call and waits for its answer. If ctx ends first, it reports to the core that the
+// caller has disconnected.
+func (srv *Server) submitAndWait(ctx context.Context, call *core.Call) error {
 	if err := ctx.Err(); err != nil {
 		return status.FromContextError(err).Err()
 	}
-	if t, ok := ctx.Deadline(); ok {
-		if c.WithinS = time.Until(t).Seconds(); c.WithinS <= 0 {
+	if deadline, ok := ctx.Deadline(); ok {
+		if call.WithinS = time.Until(deadline).Seconds(); call.WithinS <= 0 {
 			return status.Error(codes.DeadlineExceeded, "the deadline had passed on arrival; nothing was done")
 		}
 	}
 	done := make(chan *core.Call, 1)
-	c.Front, c.Tag = waiter{}, done
-	if s.core.Submit([]*core.Call{c}) == 0 {
+	call.Front, call.Tag = answerReceiver{}, done
+	if srv.core.Submit([]*core.Call{call}) == 0 {
 		return status.Error(codes.ResourceExhausted, "too many requests wait")
 	}
 	select {
 	case <-done:
-		return ended(&c.Answer)
+		return statusError(&call.Answer)
 	case <-ctx.Done():
-		s.core.Gone([]*core.Call{c})
+		srv.core.Gone([]*core.Call{call})
 		return status.FromContextError(ctx.Err()).Err()
 	}
 }
 
-// Do runs one request.
-func (s *Server) Do(ctx context.Context, r *pb.DoRequest) (*pb.DoResponse, error) {
-	s.calls.Add(1)
-	client, ok := s.client(ctx)
+// Do runs one request and returns its reply.
+func (srv *Server) Do(ctx context.Context, request *pb.DoRequest) (*pb.DoResponse, error) {
+	srv.calls.Add(1)
+	client, ok := srv.authenticate(ctx)
 	if !ok {
-		return nil, errDenied
+		return nil, errUnauthenticated
 	}
-	c, err := s.work(client, r)
+	call, err := srv.workCall(client, request)
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
-	if err := s.run(ctx, &c); err != nil {
+	if err := srv.submitAndWait(ctx, &call); err != nil {
 		return nil, err
 	}
-	return &pb.DoResponse{Reply: c.Answer.Payload}, nil
+	return &pb.DoResponse{Reply: call.Answer.Payload}, nil
 }
 
-// work translates a request to the call that asks for it.
-func (s *Server) work(client *access.Client, r *pb.DoRequest) (core.Call, error) {
-	words := r.GetWords()
+// workCall translates a request of the work service to a call of the core.
+func (srv *Server) workCall(client *access.Client, request *pb.DoRequest) (core.Call, error) {
+	words := request.GetWords()
 	if len(words) == 0 || len(words[0]) == 0 {
 		return core.Call{}, errors.New("no words, want a command of the settings with its further words")
 	}
 	words = append([][]byte{bytes.ToUpper(words[0])}, words[1:]...)
-	c, known, err := s.opt.Book.Work(client, words)
+	call, known, err := srv.options.Book.Work(client, words)
 	if err == nil && !known {
 		err = fmt.Errorf("unknown command %q", words[0][:min(len(words[0]), 64)])
 	}
-	return c, err
+	return call, err
 }
 
-// seconds turns a wait into a duration; plans without a rate have none.
-func seconds(x float64) *durationpb.Duration {
-	if math.IsInf(x, 0) || math.IsNaN(x) || x < 0 {
-		x = 0
+// durationFromSeconds converts a wait to a duration. A wait that is infinite, NaN or negative becomes 0; plans
+// without a rate have no finite wait.
+func durationFromSeconds(seconds float64) *durationpb.Duration {
+	if math.IsInf(seconds, 0) || math.IsNaN(seconds) || seconds < 0 {
+		seconds = 0
 	}
-	return durationpb.New(time.Duration(x * 1e9))
+	return durationpb.New(time.Duration(seconds * 1e9))
 }
--- a/internal/rpc/stream.go
+++ b/internal/rpc/stream.go
@@ -14,147 +14,150 @@
 	pb "cometpond/internal/rpc/cometpondv1"
 )
 
-// Stream runs many requests at once. A request takes a place when it is read and gives it back when its
-// answer has been written, so a client that does not read its answers is soon not read either.
-func (s *Server) Stream(st grpc.BidiStreamingServer[pb.StreamRequest, pb.StreamResponse]) error {
-	s.calls.Add(1)
-	s.open.Add(1)
-	defer s.open.Add(-1)
-	client, ok := s.client(st.Context())
+// Stream runs many requests concurrently. A request takes a slot when it is read and frees it when its answer
+// has been written, so the server soon stops reading from a client that does not read its answers.
+func (srv *Server) Stream(stream grpc.BidiStreamingServer[pb.StreamRequest, pb.StreamResponse]) error {
+	srv.calls.Add(1)
+	srv.openStreams.Add(1)
+	defer srv.openStreams.Add(-1)
+	client, ok := srv.authenticate(stream.Context())
 	if !ok {
-		return errDenied
+		return errUnauthenticated
 	}
-	x := &exchange{s: s, st: st, back: make(chan *core.Call, s.opt.Ahead), out: make(chan *pb.StreamResponse, s.opt.Ahead),
-		places: make(chan struct{}, s.opt.Ahead), read: make(chan error, 1), under: map[*core.Call]uint64{}, taken: make(chan begun, s.opt.Ahead)}
-	go func() { // ends with the stream: Recv fails once the handler has returned
-		x.read <- x.recv(func(r *pb.DoRequest) (core.Call, error) { return s.work(client, r) })
+	session := &streamSession{server: srv, stream: stream, answered: make(chan *core.Call, srv.options.Ahead), rejected: make(chan *pb.StreamResponse, srv.options.Ahead),
+		slots: make(chan struct{}, srv.options.Ahead), readResult: make(chan error, 1), inFlight: map[*core.Call]uint64{}, submitted: make(chan submission, srv.options.Ahead)}
+	go func() { // ends with the stream, since Recv fails once the handler has returned
+		session.readResult <- session.receive(func(request *pb.DoRequest) (core.Call, error) { return srv.workCall(client, request) })
 	}()
-	return x.run()
+	return session.writeAnswers()
 }
 
-// exchange is one Stream.
-type exchange struct {
-	s      *Server
-	st     grpc.BidiStreamingServer[pb.StreamRequest, pb.StreamResponse]
-	places chan struct{}           // one for each request under way
-	taken  chan begun              // requests that the reader has submitted
-	back   chan *core.Call         // from the core
-	out    chan *pb.StreamResponse // answers of requests that never came to the core
-	read   chan error              // how reading ended
-	under  map[*core.Call]uint64   // the writer's: ids of requests under way
+// streamSession is the state of one Stream call.
+type streamSession struct {
+	server     *Server
+	stream     grpc.BidiStreamingServer[pb.StreamRequest, pb.StreamResponse]
+	slots      chan struct{}           // one element for each request in flight
+	submitted  chan submission         // requests that the reader is submitting to the core
+	answered   chan *core.Call         // calls that the core has answered
+	rejected   chan *pb.StreamResponse // answers to invalid requests, which are not submitted to the core
+	readResult chan error              // result of receive
+	inFlight   map[*core.Call]uint64   // ids of requests in flight; used by writeAnswers alone
 }
 
-type begun struct {
+// submission is a submitted request with the id that the client gave it.
+type submission struct {
 	call *core.Call
 	id   uint64
 }
 
-// recv reads requests as places come free.
-func (x *exchange) recv(work func(*pb.DoRequest) (core.Call, error)) error {
-	ctx := x.st.Context()
+// receive reads requests as slots become free and submits them to the core.
+func (session *streamSession) receive(toCall func(*pb.DoRequest) (core.Call, error)) error {
+	ctx := session.stream.Context()
 	for {
 		select {
-		case x.places <- struct{}{}:
-		case <-x.s.drain:
+		case session.slots <- struct{}{}:
+		case <-session.server.draining:
 			return nil
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		r, err := x.st.Recv()
+		request, err := session.stream.Recv()
 		if err != nil {
-			<-x.places
+			<-session.slots
 			if errors.Is(err, io.EOF) {
 				return nil
 			}
 			return err
 		}
-		x.s.requests.Add(1)
-		c, err := work(r.GetRequest())
+		session.server.streamRequests.Add(1)
+		call, err := toCall(request.GetRequest())
 		if err != nil {
-			x.out <- &pb.StreamResponse{Id: r.GetId(), Result: &pb.StreamResponse_Invalid{Invalid: err.Error()}}
+			session.rejected <- &pb.StreamResponse{Id: request.GetId(), Result: &pb.StreamResponse_Invalid{Invalid: err.Error()}}
 			continue
 		}
-		c.WithinS = float64(r.GetWithinMs()) / 1000
-		c.Front, c.Tag = waiter{}, x.back
-		x.taken <- begun{&c, r.GetId()}
-		if x.s.core.Submit([]*core.Call{&c}) == 0 {
-			c.Answer = core.Answer{Kind: core.Refused, Reason: core.Overfull, Why: "too many requests wait"}
-			x.back <- &c
+		call.WithinS = float64(request.GetWithinMs()) / 1000
+		call.Front, call.Tag = answerReceiver{}, session.answered
+		session.submitted <- submission{&call, request.GetId()}
+		if session.server.core.Submit([]*core.Call{&call}) == 0 {
+			call.Answer = core.Answer{Kind: core.Refused, Reason: core.Overfull, Why: "too many requests wait"}
+			session.answered <- &call
 		}
 	}
 }
 
-// run writes answers until the client has sent all and has all answers, has left, or the server drains and
-// what was under way has ended.
-func (x *exchange) run() error {
-	ctx := x.st.Context()
+// writeAnswers writes answers until the client has closed its side and received all of them, has disconnected, or
+// the server drains and the requests in flight have ended.
+func (session *streamSession) writeAnswers() error {
+	ctx := session.stream.Context()
 	defer func() {
-		for len(x.taken) > 0 {
-			b := <-x.taken
-			x.under[b.call] = b.id
+		for len(session.submitted) > 0 {
+			submitted := <-session.submitted
+			session.inFlight[submitted.call] = submitted.id
 		}
-		var gone []*core.Call
-		for c := range x.under {
-			gone = append(gone, c)
+		var abandoned []*core.Call
+		for call := range session.inFlight {
+			abandoned = append(abandoned, call)
 		}
-		if len(gone) > 0 {
-			x.s.core.Gone(gone)
+		if len(abandoned) > 0 {
+			session.server.core.Gone(abandoned)
 		}
 	}()
-	ended, drain, drained := false, x.s.drain, false
-	for !ended || len(x.places) > 0 {
-		var r *pb.StreamResponse
+	inputEnded, draining, drained := false, session.server.draining, false
+	for !inputEnded || len(session.slots) > 0 {
+		var response *pb.StreamResponse
 		select {
-		case c := <-x.back:
-			for { // its name came before it
-				id, ok := x.under[c]
+		case call := <-session.answered:
+			for { // its submission was queued before its answer
+				id, ok := session.inFlight[call]
 				if !ok {
-					b := <-x.taken
-					x.under[b.call] = b.id
+					submitted := <-session.submitted
+					session.inFlight[submitted.call] = submitted.id
 					continue
 				}
-				delete(x.under, c)
-				r = answer(id, &c.Answer)
+				delete(session.inFlight, call)
+				response = streamResponse(id, &call.Answer)
 				break
 			}
-		case r = <-x.out:
-		case err := <-x.read:
+		case response = <-session.rejected:
+		case err := <-session.readResult:
 			if err != nil {
 				return err
 			}
-			ended = true
+			inputEnded = true
 			continue
-		case <-drain:
-			drain, drained = nil, true // the reader may sit in Recv: it is not waited for
-			if len(x.places) <= 1 && len(x.under) == 0 && len(x.taken) == 0 {
+		case <-draining:
+			draining, drained = nil, true // does not wait for the reader, which may be blocked in Recv
+			if len(session.slots) <= 1 && len(session.inFlight) == 0 && len(session.submitted) == 0 {
 				return errDraining
 			}
 			continue
 		case <-ctx.Done():
 			return status.FromContextError(ctx.Err()).Err()
 		}
-		if err := x.st.Send(r); err != nil {
+		if err := session.stream.Send(response); err != nil {
 			return err
 		}
-		<-x.places
-		if drained && len(x.under) == 0 && len(x.taken) == 0 && len(x.back) == 0 && len(x.out) == 0 {
+		<-session.slots
+		if drained && len(session.inFlight) == 0 && len(session.submitted) == 0 && len(session.answered) == 0 && len(session.rejected) == 0 {
 			return errDraining
 		}
 	}
 	return nil
 }
 
+// errDraining ends a stream when the server drains.
 var errDraining = status.Error(codes.Unavailable, "this instance is shutting down; what it had read is answered")
 
-func answer(id uint64, a *core.Answer) *pb.StreamResponse {
-	r := &pb.StreamResponse{Id: id}
-	switch a.Kind {
+// streamResponse converts an answer of the core to the response for the request with this id.
+func streamResponse(id uint64, answer *core.Answer) *pb.StreamResponse {
+	response := &pb.StreamResponse{Id: id}
+	switch answer.Kind {
 	case core.Refused:
-		r.Result = &pb.StreamResponse_Refused{Refused: &pb.Refusal{Why: a.Why, RetryMs: uint32(time.Duration(math.Ceil(a.RetryS * 1000)))}}
+		response.Result = &pb.StreamResponse_Refused{Refused: &pb.Refusal{Why: answer.Why, RetryMs: uint32(time.Duration(math.Ceil(answer.RetryS * 1000)))}}
 	case core.Failed:
-		r.Result = &pb.StreamResponse_Failed{Failed: &pb.Failure{Why: a.Why}}
+		response.Result = &pb.StreamResponse_Failed{Failed: &pb.Failure{Why: answer.Why}}
 	default:
-		r.Result = &pb.StreamResponse_Response{Response: &pb.DoResponse{Reply: a.Payload}}
+		response.Result = &pb.StreamResponse_Response{Response: &pb.DoResponse{Reply: answer.Payload}}
 	}
-	return r
+	return response
 }
