--- a/internal/sexp/sexp.go
+++ b/internal/sexp/sexp.go
@@ -1,5 +1,5 @@
 // Package sexp reads files of S-expressions with a schema: named lists of known fields, each with its range.
-// What is wrong is told once, with file, line and field, and with what would be right.
+// The first error is kept; it names the file, the line, the field and the values that are valid.
 package sexp
 
 import (
@@ -48,54 +48,56 @@
 	participle.Unquote("String"),
 )
 
-// Head is the name that a list begins with, "" for anything else.
-func (n *Node) Head() string {
-	if n.List == nil || len(n.List.Items) == 0 || n.List.Items[0].Symbol == nil {
+// Head returns the name that a list begins with, "" for anything else.
+func (node *Node) Head() string {
+	if node.List == nil || len(node.List.Items) == 0 || node.List.Items[0].Symbol == nil {
 		return ""
 	}
-	return *n.List.Items[0].Symbol
+	return *node.List.Items[0].Symbol
 }
 
-// Args are the items of a list after its name.
-func (n *Node) Args() []*Node { return n.List.Items[1:] }
+// Args returns the items of a list after its name.
+func (node *Node) Args() []*Node { return node.List.Items[1:] }
 
-func (n *Node) String() string {
+// String returns the node as it stands in a file; a list is shortened to its name.
+func (node *Node) String() string {
 	switch {
-	case n.Text != nil:
-		return strconv.Quote(*n.Text)
-	case n.Symbol != nil:
-		return *n.Symbol
-	case n.Number != nil:
-		return *n.Number
-	case n.Duration != nil:
-		return *n.Duration
+	case node.Text != nil:
+		return strconv.Quote(*node.Text)
+	case node.Symbol != nil:
+		return *node.Symbol
+	case node.Number != nil:
+		return *node.Number
+	case node.Duration != nil:
+		return *node.Duration
 	}
-	return "(" + n.Head() + " ..)"
+	return "(" + node.Head() + " ..)"
 }
 
 // Reader walks a parsed file and keeps the first error.
 type Reader struct{ Err error }
 
-// Fail notes an error at a place: where, which field, and what would be right.
-func (r *Reader) Fail(n *Node, field, format string, args ...any) {
-	if r.Err == nil {
-		r.Err = fmt.Errorf("%s: %s: %s", n.Pos, field, fmt.Sprintf(format, args...))
+// Fail records an error at the position of a node unless one is recorded already. The text says which values are valid.
+func (reader *Reader) Fail(node *Node, field, format string, args ...any) {
+	if reader.Err == nil {
+		reader.Err = fmt.Errorf("%s: %s: %s", node.Pos, field, fmt.Sprintf(format, args...))
 	}
 }
 
-// Field says how one named list within another is read.
+// Field describes how one named list within another is read.
 type Field struct {
 	Name       string
 	Required   bool
 	Repeatable bool
-	Read       func(r *Reader, n *Node)
+	Read       func(reader *Reader, node *Node)
 }
 
-// Fields reads the named lists among items. Unknown, repeated and missing ones are errors.
-func (r *Reader) Fields(at *Node, where string, items []*Node, known []Field) {
+// Fields reads the named lists in items. An unknown list, a repeated one that is not Repeatable and a missing one that
+// is Required are errors.
+func (reader *Reader) Fields(parent *Node, context string, items []*Node, known []Field) {
 	seen := map[string]bool{}
-	for _, n := range items {
-		name := n.Head()
+	for _, node := range items {
+		name := node.Head()
 		i := 0
 		for i < len(known) && known[i].Name != name {
 			i++
@@ -103,136 +105,142 @@
 		switch {
 		case i == len(known):
 			var names []string
-			for _, f := range known {
-				names = append(names, f.Name)
+			for _, field := range known {
+				names = append(names, field.Name)
 			}
-			r.Fail(n, where, "unknown %s, want one of: (%s ..)", n, strings.Join(names, " ..) ("))
+			reader.Fail(node, context, "unknown %s, want one of: (%s ..)", node, strings.Join(names, " ..) ("))
 		case seen[name] && !known[i].Repeatable:
-			r.Fail(n, where+" "+name, "given twice, want it once")
+			reader.Fail(node, context+" "+name, "given twice, want it once")
 		default:
 			seen[name] = true
-			known[i].Read(r, n)
+			known[i].Read(reader, node)
 		}
 	}
-	for _, f := range known {
-		if f.Required && !seen[f.Name] {
-			r.Fail(at, where, "(%s ..) is missing", f.Name)
+	for _, field := range known {
+		if field.Required && !seen[field.Name] {
+			reader.Fail(parent, context, "(%s ..) is missing", field.Name)
 		}
 	}
 }
 
-// SingleArg returns the only argument of a list.
-func (r *Reader) SingleArg(n *Node, want string) *Node {
-	if a := n.Args(); len(a) == 1 {
-		return a[0]
+// SingleArg returns the only argument of a list; any other number of arguments is an error.
+func (reader *Reader) SingleArg(node *Node, want string) *Node {
+	if args := node.Args(); len(args) == 1 {
+		return args[0]
 	}
-	r.Fail(n, n.Head(), "holds %d values, want (%s %s)", len(n.Args()), n.Head(), want)
-	return &Node{Pos: n.Pos}
+	reader.Fail(node, node.Head(), "holds %d values, want (%s %s)", len(node.Args()), node.Head(), want)
+	return &Node{Pos: node.Pos}
 }
 
 // Name reads a name, as a symbol or a string.
-func (r *Reader) Name(n *Node, field string) string {
+func (reader *Reader) Name(node *Node, field string) string {
 	switch {
-	case n.Symbol != nil:
-		return *n.Symbol
-	case n.Text != nil && *n.Text != "":
-		return *n.Text
+	case node.Symbol != nil:
+		return *node.Symbol
+	case node.Text != nil && *node.Text != "":
+		return *node.Text
 	}
-	r.Fail(n, field, "%s is no name, want a word or a string", n)
+	reader.Fail(node, field, "%s is no name, want a word or a string", node)
 	return ""
 }
 
 // Number reads a number within a range.
-func (r *Reader) Number(n *Node, field string, lo, hi float64) float64 {
-	if n.Number == nil {
-		r.Fail(n, field, "%s is no number, want %g to %g", n, lo, hi)
+func (reader *Reader) Number(node *Node, field string, minimum, maximum float64) float64 {
+	if node.Number == nil {
+		reader.Fail(node, field, "%s is no number, want %g to %g", node, minimum, maximum)
 		return 0
 	}
-	x, err := strconv.ParseFloat(*n.Number, 64)
-	if err != nil || x < lo || x > hi {
-		r.Fail(n, field, "%s is out of range, want %g to %g", n, lo, hi)
+	value, err := strconv.ParseFloat(*node.Number, 64)
+	if err != nil || value < minimum || value > maximum {
+		reader.Fail(node, field, "%s is out of range, want %g to %g", node, minimum, maximum)
 	}
-	return x
+	return value
 }
 
-// Int reads a whole number within a range.
-func (r *Reader) Int(n *Node, field string, lo, hi int) int {
-	x := r.Number(n, field, float64(lo), float64(hi))
-	if x != float64(int(x)) {
-		r.Fail(n, field, "%s is no whole number, want %d to %d", n, lo, hi)
+// Int reads an integer within a range.
+func (reader *Reader) Int(node *Node, field string, minimum, maximum int) int {
+	value := reader.Number(node, field, float64(minimum), float64(maximum))
+	if value != float64(int(value)) {
+		reader.Fail(node, field, "%s is no whole number, want %d to %d", node, minimum, maximum)
 	}
-	return int(x)
+	return int(value)
 }
 
-// Duration reads a time with its unit, within a range.
-func (r *Reader) Duration(n *Node, field string, lo, hi time.Duration) time.Duration {
-	if n.Duration == nil {
-		r.Fail(n, field, "%s is no time, want %v to %v with a unit, as 250ms or 1.5s", n, lo, hi)
+// Duration reads a duration with its unit, within a range.
+func (reader *Reader) Duration(node *Node, field string, minimum, maximum time.Duration) time.Duration {
+	if node.Duration == nil {
+		reader.Fail(node, field, "%s is no time, want %v to %v with a unit, as 250ms or 1.5s", node, minimum, maximum)
 		return 0
 	}
-	d, err := time.ParseDuration(*n.Duration)
-	if err != nil || d < lo || d > hi {
-		r.Fail(n, field, "%s is out of range, want %v to %v", n, lo, hi)
+	duration, err := time.ParseDuration(*node.Duration)
+	if err != nil || duration < minimum || duration > maximum {
+		reader.Fail(node, field, "%s is out of range, want %v to %v", node, minimum, maximum)
 	}
-	return d
+	return duration
 }
 
 // Choice reads one of several words.
-func Choice[T any](r *Reader, n *Node, field string, words []string, values []T) T {
-	if n.Symbol != nil {
-		for i, w := range words {
-			if w == *n.Symbol {
+func Choice[T any](reader *Reader, node *Node, field string, words []string, values []T) T {
+	if node.Symbol != nil {
+		for i, word := range words {
+			if word == *node.Symbol {
 				return values[i]
 			}
 		}
 	}
-	r.Fail(n, field, "%s is not known, want %s", n, strings.Join(words, " or "))
+	reader.Fail(node, field, "%s is not known, want %s", node, strings.Join(words, " or "))
 	var zero T
 	return zero
 }
 
 // NameField is a field that holds a name.
-func NameField(name string, required bool, to *string) Field {
-	return Field{name, required, false, func(r *Reader, n *Node) { *to = r.Name(r.SingleArg(n, "NAME"), name) }}
+func NameField(name string, required bool, target *string) Field {
+	return Field{name, required, false, func(reader *Reader, node *Node) { *target = reader.Name(reader.SingleArg(node, "NAME"), name) }}
 }
 
 // NumberField is a field that holds a number.
-func NumberField(name string, required bool, to *float64, lo, hi float64) Field {
-	return Field{name, required, false, func(r *Reader, n *Node) { *to = r.Number(r.SingleArg(n, "NUMBER"), name, lo, hi) }}
+func NumberField(name string, required bool, target *float64, minimum, maximum float64) Field {
+	return Field{name, required, false, func(reader *Reader, node *Node) {
+		*target = reader.Number(reader.SingleArg(node, "NUMBER"), name, minimum, maximum)
+	}}
 }
 
-// IntField is a field that holds a whole number.
-func IntField(name string, required bool, to *int, lo, hi int) Field {
-	return Field{name, required, false, func(r *Reader, n *Node) { *to = r.Int(r.SingleArg(n, "NUMBER"), name, lo, hi) }}
+// IntField is a field that holds an integer.
+func IntField(name string, required bool, target *int, minimum, maximum int) Field {
+	return Field{name, required, false, func(reader *Reader, node *Node) {
+		*target = reader.Int(reader.SingleArg(node, "NUMBER"), name, minimum, maximum)
+	}}
 }
 
-// SecondsField is a field that holds a time, as seconds.
-func SecondsField(name string, required bool, to *float64, lo, hi time.Duration) Field {
-	return Field{name, required, false, func(r *Reader, n *Node) {
-		*to = r.Duration(r.SingleArg(n, "TIME"), name, lo, hi).Seconds()
+// SecondsField is a field that holds a duration, stored as seconds.
+func SecondsField(name string, required bool, target *float64, minimum, maximum time.Duration) Field {
+	return Field{name, required, false, func(reader *Reader, node *Node) {
+		*target = reader.Duration(reader.SingleArg(node, "TIME"), name, minimum, maximum).Seconds()
 	}}
 }
 
-// DurationField is a field that holds a time.
-func DurationField(name string, required bool, to *time.Duration, lo, hi time.Duration) Field {
-	return Field{name, required, false, func(r *Reader, n *Node) { *to = r.Duration(r.SingleArg(n, "TIME"), name, lo, hi) }}
+// DurationField is a field that holds a duration.
+func DurationField(name string, required bool, target *time.Duration, minimum, maximum time.Duration) Field {
+	return Field{name, required, false, func(reader *Reader, node *Node) {
+		*target = reader.Duration(reader.SingleArg(node, "TIME"), name, minimum, maximum)
+	}}
 }
 
 // ChoiceField is a field that holds one of several words.
-func ChoiceField[T any](name string, required bool, to *T, words []string, values []T) Field {
-	return Field{name, required, false, func(r *Reader, n *Node) {
-		*to = Choice(r, r.SingleArg(n, strings.Join(words, "|")), name, words, values)
+func ChoiceField[T any](name string, required bool, target *T, words []string, values []T) Field {
+	return Field{name, required, false, func(reader *Reader, node *Node) {
+		*target = Choice(reader, reader.SingleArg(node, strings.Join(words, "|")), name, words, values)
 	}}
 }
 
-// Parse reads a text; path is used in errors.
+// Parse parses a text; errors name path as its file.
 func Parse(path, text string) (*File, error) { return parser.ParseString(path, text) }
 
-// NameAndArgs reads the name that a list begins with and returns it with the rest.
-func (r *Reader) NameAndArgs(n *Node) (string, []*Node) {
-	if len(n.Args()) == 0 {
-		r.Fail(n, n.Head(), "holds nothing, want (%s NAME ..)", n.Head())
+// NameAndArgs reads the first argument of a list as a name and returns it with the remaining arguments.
+func (reader *Reader) NameAndArgs(node *Node) (string, []*Node) {
+	if len(node.Args()) == 0 {
+		reader.Fail(node, node.Head(), "holds nothing, want (%s NAME ..)", node.Head())
 		return "", nil
 	}
-	return r.Name(n.Args()[0], n.Head()), n.Args()[1:]
+	return reader.Name(node.Args()[0], node.Head()), node.Args()[1:]
 }
