--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -107,7 +107,7 @@
 		return err
 	})
 	if err != nil {
-		return nil, fmt.Errorf("listen on %srv: %w", options.Listen, err)
+		return nil, fmt.Errorf("listen on %s: %w", options.Listen, err)
 	}
 	srv.listener = &limitedListener{Listener: listener, maxOpen: int64(options.Connections), rejected: &srv.rejectedConnections, log: options.Log}
 	srv.serving.Add(1)
@@ -191,7 +191,8 @@
 // Addr returns the address that the server listens on.
 func (srv *Server) Addr() net.Addr { return srv.listener.Addr() }
 
-// Drain reports the server as not serving to health checks and ends streams. Calls in flight continue.
+// Drain reports the server as not serving to health checks and ends each stream once its requests in flight are
+// answered. Calls in flight continue.
 func (srv *Server) Drain() {
 	srv.drainOnce.Do(func() {
 		srv.health.Shutdown()
