--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,6 @@
-// Command simhost hosts gateways on the simulator's wire. It translates between
-// the wire and the policy package and decides nothing.
+// Command simhost runs gateways for the simulator. It translates between the
+// simulator's line protocol and the policy package and makes no decisions. The
+// names on the wire differ from those of the code; they are mapped in this file.
 package main
 
 import (
@@ -19,67 +20,74 @@
 	}
 }
 
-// host is what one process holds: its gateways, and the numbered lists of servers.
-type host struct {
-	now   float64
-	in    *wire.Reader
-	out   *wire.Writer
-	line  wire.Line
-	gates map[int]*policy.Gateway
-	lists map[int][]policy.Server
+// simulatorHost is the state of one process: its gateways by instance and the numbered lists of servers.
+type simulatorHost struct {
+	now         float64
+	in          *wire.Reader
+	out         *wire.Writer
+	line        wire.Line
+	gateways    map[int]*policy.Gateway
+	serverLists map[int][]policy.Server
 }
 
-// actions writes the actions of one gateway.
-type actions struct {
-	w *wire.Writer
-	i int
+// actionWriter writes the actions of one gateway as lines of the protocol.
+type actionWriter struct {
+	out      *wire.Writer
+	instance int
 }
 
-func (a actions) Send(id, server string, timing policy.Timing) {
-	l := a.w.Begin("FORWARD", a.i).ID("id", id).ID("backend", server)
+func (writer actionWriter) Send(id, server string, timing policy.Timing) {
+	line := writer.out.Begin("FORWARD", writer.instance).ID("id", id).ID("backend", server)
 	if timing.AnswerS != 0 {
-		l.Num("withinS", timing.AnswerS)
+		line.Float("withinS", timing.AnswerS)
 	}
-	l.End()
+	line.End()
 }
 
-func (a actions) Refuse(id string, retryInS float64, _ policy.Refusal) {
-	l := a.w.Begin("BOUNCE", a.i).ID("id", id)
+func (writer actionWriter) Refuse(id string, retryInS float64, _ policy.Refusal) {
+	line := writer.out.Begin("BOUNCE", writer.instance).ID("id", id)
 	if retryInS > 0 {
-		l.Num("retryInS", retryInS)
+		line.Float("retryInS", retryInS)
 	}
-	l.End()
+	line.End()
 }
 
-func (a actions) Fail(id string) { a.w.Begin("ERROR", a.i).ID("id", id).End() }
+func (writer actionWriter) Fail(id string) {
+	writer.out.Begin("ERROR", writer.instance).ID("id", id).End()
+}
 
-// Admit answers a request that the bench never makes.
-func (a actions) Admit(string) {}
+// Admit does nothing: the simulator makes no request for admission alone.
+func (writer actionWriter) Admit(string) {}
 
-func (a actions) Cancel(id string, attempt int) {
-	a.w.Begin("STOP_ATTEMPT", a.i).ID("id", id).Int("hop", int64(attempt)).End()
+func (writer actionWriter) Cancel(id string, attempt int) {
+	writer.out.Begin("STOP_ATTEMPT", writer.instance).ID("id", id).Int("hop", int64(attempt)).End()
 }
 
-func (a actions) SetTimer(token uint64, delayS float64) {
-	a.w.Begin("WAKE_AT", a.i).Int("mark", int64(token)).Num("offsetS", delayS).End()
+func (writer actionWriter) SetTimer(token uint64, delayS float64) {
+	writer.out.Begin("WAKE_AT", writer.instance).Int("mark", int64(token)).Float("offsetS", delayS).End()
 }
 
-func (a actions) Probe(server string) { a.w.Begin("HEALTH_CHECK", a.i).ID("backend", server).End() }
+func (writer actionWriter) Probe(server string) {
+	writer.out.Begin("HEALTH_CHECK", writer.instance).ID("backend", server).End()
+}
 
-func (a actions) Tell(gateway int, data []byte) {
-	a.w.Begin("BROADCAST_TO", a.i).Int("addressee", int64(gateway)).Hex("data", data).End()
+func (writer actionWriter) Tell(gateway int, data []byte) {
+	writer.out.Begin("BROADCAST_TO", writer.instance).Int("addressee", int64(gateway)).Hex("data", data).End()
 }
 
-func (a actions) Log(text string) { a.w.Begin("EMIT", a.i).Str("msg", text).End() }
+func (writer actionWriter) Log(text string) {
+	writer.out.Begin("EMIT", writer.instance).Text("msg", text).End()
+}
 
+// run answers batches of events until the input ends. A batch begins with CLOCK and ends with YOUR_TURN.
 func run(in io.Reader, out io.Writer) error {
-	h := &host{
+	host := &simulatorHost{
 		in: wire.NewReader(in), out: wire.NewWriter(out),
-		gates: map[int]*policy.Gateway{}, lists: map[int][]policy.Server{},
+		gateways: map[int]*policy.Gateway{}, serverLists: map[int][]policy.Server{},
 	}
 	inBatch := false
 	for {
-		err := h.in.Next(&h.line)
+		err := host.in.Next(&host.line)
 		if err == io.EOF && !inBatch {
 			return nil
 		} else if err == io.EOF {
@@ -88,182 +96,205 @@
 			return err
 		}
 		switch {
-		case h.line.Name == "CLOCK":
-			if h.now, err = h.line.Num("timeS"); err != nil {
+		case host.line.Name == "CLOCK":
+			if host.now, err = host.line.Float("timeS"); err != nil {
 				return err
 			}
 			inBatch = true
 		case !inBatch:
-			return fmt.Errorf("%s: outside a batch", h.line.Name)
-		case h.line.Name == "YOUR_TURN":
-			if err := h.out.Flush(); err != nil {
+			return fmt.Errorf("%s: outside a batch", host.line.Name)
+		case host.line.Name == "YOUR_TURN":
+			if err := host.out.Flush(); err != nil {
 				return err
 			}
 			inBatch = false
 		default:
-			if err := h.event(); err != nil {
+			if err := host.handleEvent(); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-// event reads one event whole, then hands it to its gateway.
-func (h *host) event() error {
-	l := &h.line
-	if l.Name == "REGISTER" {
-		return h.register()
+// handleEvent reads one event completely, then passes it to its gateway. A panic is reported as a FAULT.
+func (host *simulatorHost) handleEvent() error {
+	line := &host.line
+	if line.Name == "REGISTER" {
+		return host.readServerList()
 	}
-	deliver, known := events[l.Name]
+	readEvent, known := events[line.Name]
 	if !known {
-		return fmt.Errorf("%s: unknown message", l.Name)
+		return fmt.Errorf("%s: unknown message", line.Name)
 	}
-	i, err := l.Int("i")
+	instance, err := line.Int("i")
 	if err != nil {
 		return err
 	}
 	defer func() {
-		if p := recover(); p != nil {
-			h.out.Begin("FAULT", i).Str("msg", fmt.Sprint(p)).End()
+		if panicValue := recover(); panicValue != nil {
+			host.out.Begin("FAULT", instance).Text("msg", fmt.Sprint(panicValue)).End()
 		}
 	}()
-	call, err := deliver(h, i)
-	if err != nil || call == nil {
+	deliver, err := readEvent(host, instance)
+	if err != nil || deliver == nil {
 		return err
 	}
-	if g := h.gates[i]; g != nil {
-		call(g)
+	if gateway := host.gateways[instance]; gateway != nil {
+		deliver(gateway)
 	}
 	return nil
 }
 
-// register reads a numbered list and the entries that follow it.
-func (h *host) register() error {
-	r := fields{l: &h.line}
-	id, n := r.num("rosterId"), r.num("lines")
-	if r.err == nil && n < 0 {
-		r.err = fmt.Errorf("REGISTER: field lines cannot be read: %d", n)
+// readServerList reads a numbered list of servers: its REGISTER line and the ITEM lines that follow.
+func (host *simulatorHost) readServerList() error {
+	fields := fieldReader{line: &host.line}
+	id, count := fields.integer("rosterId"), fields.integer("lines")
+	if fields.err == nil && count < 0 {
+		fields.err = fmt.Errorf("REGISTER: field lines cannot be read: %d", count)
 	}
-	if r.err != nil {
-		return r.err
+	if fields.err != nil {
+		return fields.err
 	}
 	var list []policy.Server
-	for range n {
-		if err := h.in.Next(&h.line); err == io.EOF {
+	for range count {
+		if err := host.in.Next(&host.line); err == io.EOF {
 			return fmt.Errorf("ITEM: the list ends early")
 		} else if err != nil {
 			return err
 		}
-		if h.line.Name != "ITEM" {
-			return fmt.Errorf("%s: ITEM expected", h.line.Name)
+		if host.line.Name != "ITEM" {
+			return fmt.Errorf("%s: ITEM expected", host.line.Name)
 		}
-		s := policy.Server{ID: r.text("backend"), Zone: r.text("hall"), Cell: r.optInt("unitGroup"),
-			Weight: r.optNum("share"), SinceS: r.optNum("sinceS")}
-		switch v := r.text("status"); v {
+		server := policy.Server{ID: fields.text("backend"), Zone: fields.text("hall"), Cell: fields.optInt("unitGroup"),
+			Weight: fields.optFloat("share"), SinceS: fields.optFloat("sinceS")}
+		switch value := fields.text("status"); value {
 		case "U":
-			s.State = policy.Up
+			server.State = policy.Up
 		case "L":
-			s.State = policy.Draining
+			server.State = policy.Draining
 		case "D":
-			s.State = policy.Removed
+			server.State = policy.Removed
 		default:
-			if r.err == nil {
-				r.err = fmt.Errorf("ITEM: field status cannot be read: %q", v)
+			if fields.err == nil {
+				fields.err = fmt.Errorf("ITEM: field status cannot be read: %q", value)
 			}
 		}
-		if r.err != nil {
-			return r.err
+		if fields.err != nil {
+			return fields.err
 		}
-		list = append(list, s)
+		list = append(list, server)
 	}
-	h.lists[id] = list
+	host.serverLists[id] = list
 	return nil
 }
 
-// fields reads fields of a line and keeps the first error.
-type fields struct {
-	l   *wire.Line
-	err error
+// fieldReader reads fields of a line and records the first error.
+type fieldReader struct {
+	line *wire.Line
+	err  error
 }
 
-func keep[T any](f *fields, v T, err error) T {
-	if f.err == nil {
-		f.err = err
+// recordError records err if it is the first error, and returns value.
+func recordError[T any](fields *fieldReader, value T, err error) T {
+	if fields.err == nil {
+		fields.err = err
 	}
-	return v
+	return value
 }
 
-func (f *fields) text(n string) string    { v, err := f.l.Text(n); return keep(f, v, err) }
-func (f *fields) num(n string) int        { v, err := f.l.Int(n); return keep(f, v, err) }
-func (f *fields) optInt(n string) int     { v, err := f.l.OptInt(n); return keep(f, v, err) }
-func (f *fields) float(n string) float64  { v, err := f.l.Num(n); return keep(f, v, err) }
-func (f *fields) optNum(n string) float64 { v, err := f.l.OptNum(n); return keep(f, v, err) }
-func (f *fields) flag(n string) bool      { v, err := f.l.OptBool(n); return keep(f, v, err) }
+func (fields *fieldReader) text(name string) string {
+	value, err := fields.line.Text(name)
+	return recordError(fields, value, err)
+}
+func (fields *fieldReader) integer(name string) int {
+	value, err := fields.line.Int(name)
+	return recordError(fields, value, err)
+}
+func (fields *fieldReader) optInt(name string) int {
+	value, err := fields.line.OptInt(name)
+	return recordError(fields, value, err)
+}
+func (fields *fieldReader) float(name string) float64 {
+	value, err := fields.line.Float(name)
+	return recordError(fields, value, err)
+}
+func (fields *fieldReader) optFloat(name string) float64 {
+	value, err := fields.line.OptFloat(name)
+	return recordError(fields, value, err)
+}
+func (fields *fieldReader) flag(name string) bool {
+	value, err := fields.line.OptBool(name)
+	return recordError(fields, value, err)
+}
 
-func (f *fields) status() policy.Status {
-	code := f.num("code")
-	s, ok := statuses[code]
-	if f.err == nil && !ok {
-		f.err = fmt.Errorf("%s: field code cannot be read: \"%d\"", f.l.Name, code)
+// status reads the field code as the status of an attempt or a probe.
+func (fields *fieldReader) status() policy.Status {
+	code := fields.integer("code")
+	status, ok := statusByCode[code]
+	if fields.err == nil && !ok {
+		fields.err = fmt.Errorf("%s: field code cannot be read: \"%d\"", fields.line.Name, code)
 	}
-	return s
+	return status
 }
 
-var statuses = map[int]policy.Status{200: policy.OK, 500: policy.Error, 503: policy.Full, 504: policy.Timeout,
+// statusByCode maps the status codes on the wire.
+var statusByCode = map[int]policy.Status{200: policy.OK, 500: policy.Error, 503: policy.Full, 504: policy.Timeout,
 	502: policy.ConnectFailed, 598: policy.Reset, 499: policy.Cancelled, 410: policy.Moot}
 
-func (f *fields) load() *policy.Load {
-	r := policy.Load{InFlight: -1, Queue: -1, Util: -1, ServiceMS: -1, ServedPerS: -1, FailedPerS: -1}
-	some, err := f.l.Pairs("load", func(name string, v float64) {
+// load reads the load report of a server; it returns nil if there is none. Values that are not reported are -1.
+func (fields *fieldReader) load() *policy.Load {
+	report := policy.Load{InFlight: -1, Queue: -1, Util: -1, ServiceMS: -1, ServedPerS: -1, FailedPerS: -1}
+	reported, err := fields.line.Pairs("load", func(name string, value float64) {
 		switch name {
 		case "busy_reqs":
-			r.InFlight = v
+			report.InFlight = value
 		case "pending":
-			r.Queue = v
+			report.Queue = value
 		case "cpu_share":
-			r.Util = v
+			report.Util = value
 		case "svc_ms":
-			r.ServiceMS = v
+			report.ServiceMS = value
 		case "served_ps":
-			r.ServedPerS = v
+			report.ServedPerS = value
 		case "failed_ps":
-			r.FailedPerS = v
+			report.FailedPerS = value
 		}
 	})
-	if keep(f, some, err) {
-		return &r
+	if recordError(fields, reported, err) {
+		return &report
 	}
 	return nil
 }
 
-// events reads each event; the function it returns hands the event to the gateway.
-var events = map[string]func(*host, int) (func(*policy.Gateway), error){
-	"ENLIST": func(h *host, i int) (func(*policy.Gateway), error) {
-		seed, err := h.line.Uint("entropy")
+// events has a function for each event. It reads the fields of the event and returns a function that passes the
+// event to the gateway, or nil if there is nothing to pass.
+var events = map[string]func(*simulatorHost, int) (func(*policy.Gateway), error){
+	"ENLIST": func(host *simulatorHost, instance int) (func(*policy.Gateway), error) {
+		seed, err := host.line.Uint("entropy")
 		if err != nil {
 			return nil, err
 		}
-		text, err := h.line.Text("settings")
+		text, err := host.line.Text("settings")
 		if err != nil {
 			return nil, err
 		}
-		t, err := terms.Read([]byte(text))
+		parsed, err := terms.Read([]byte(text))
 		if err != nil {
 			return nil, fmt.Errorf("ENLIST: field settings: %w", err)
 		}
-		g, err := policy.New(t.Settings, seed, h.now, actions{h.out, i})
+		gateway, err := policy.New(parsed.Settings, seed, host.now, actionWriter{host.out, instance})
 		if err != nil {
 			return nil, fmt.Errorf("ENLIST: field settings: %w", err)
 		}
-		h.gates[i] = g
+		host.gateways[instance] = gateway
 		return nil, nil
 	},
-	"DOWN": func(h *host, i int) (func(*policy.Gateway), error) {
-		delete(h.gates, i)
+	"DOWN": func(host *simulatorHost, instance int) (func(*policy.Gateway), error) {
+		delete(host.gateways, instance)
 		return nil, nil
 	},
-	"PEERS_KNOWN": func(h *host, i int) (func(*policy.Gateway), error) {
-		kind, err := h.line.Text("kind")
+	"PEERS_KNOWN": func(host *simulatorHost, instance int) (func(*policy.Gateway), error) {
+		kind, err := host.line.Text("kind")
 		if err != nil {
 			return nil, err
 		}
@@ -273,54 +304,54 @@
 		if kind != "Partial" && kind != "Complete" && kind != "Persisted" {
 			return nil, fmt.Errorf("PEERS_KNOWN: field kind cannot be read: %q", kind)
 		}
-		id, err := h.line.Int("rosterId")
+		id, err := host.line.Int("rosterId")
 		if err != nil {
 			return nil, err
 		}
-		list, ok := h.lists[id]
+		list, ok := host.serverLists[id]
 		if !ok {
 			return nil, fmt.Errorf("PEERS_KNOWN: field rosterId names no list: \"%d\"", id)
 		}
-		return func(g *policy.Gateway) { g.Servers(h.now, list, kind != "Partial") }, nil
+		return func(gateway *policy.Gateway) { gateway.Servers(host.now, list, kind != "Partial") }, nil
 	},
-	"REQUEST": func(h *host, i int) (func(*policy.Gateway), error) {
-		f := fields{l: &h.line}
-		r := policy.Request{ID: f.text("id"), Class: f.text("kind"), Plan: f.text("tier"), Customer: f.text("holder"),
-			DeadlineS: f.float("dropDeadS"), First: f.optInt("base"), Entries: int(f.optNum("nEntries")),
-			Units: f.optNum("costUnits"), Retry: f.flag("isRetry")}
-		return func(g *policy.Gateway) { g.Request(h.now, r) }, f.err
+	"REQUEST": func(host *simulatorHost, instance int) (func(*policy.Gateway), error) {
+		fields := fieldReader{line: &host.line}
+		request := policy.Request{ID: fields.text("id"), Class: fields.text("kind"), Plan: fields.text("tier"), Customer: fields.text("holder"),
+			DeadlineS: fields.float("dropDeadS"), First: fields.optInt("base"), Entries: int(fields.optFloat("nEntries")),
+			Units: fields.optFloat("costUnits"), Retry: fields.flag("isRetry")}
+		return func(gateway *policy.Gateway) { gateway.Request(host.now, request) }, fields.err
 	},
-	"FLOWING": func(h *host, i int) (func(*policy.Gateway), error) {
-		f := fields{l: &h.line}
-		id, n := f.text("id"), f.num("hop")
-		return func(g *policy.Gateway) { g.Started(h.now, id, n) }, f.err
+	"FLOWING": func(host *simulatorHost, instance int) (func(*policy.Gateway), error) {
+		fields := fieldReader{line: &host.line}
+		id, attempt := fields.text("id"), fields.integer("hop")
+		return func(gateway *policy.Gateway) { gateway.Started(host.now, id, attempt) }, fields.err
 	},
-	"VERDICT": func(h *host, i int) (func(*policy.Gateway), error) {
-		f := fields{l: &h.line}
-		o := policy.Outcome{ID: f.text("id"), Server: f.text("backend"), Attempt: f.num("hop"), Status: f.status(),
-			Over: f.flag("terminal"), SpentS: f.optNum("spentS"), Units: f.optNum("actual"), Load: f.load()}
-		return func(g *policy.Gateway) { g.Outcome(h.now, o) }, f.err
+	"VERDICT": func(host *simulatorHost, instance int) (func(*policy.Gateway), error) {
+		fields := fieldReader{line: &host.line}
+		outcome := policy.Outcome{ID: fields.text("id"), Server: fields.text("backend"), Attempt: fields.integer("hop"), Status: fields.status(),
+			Over: fields.flag("terminal"), SpentS: fields.optFloat("spentS"), Units: fields.optFloat("actual"), Load: fields.load()}
+		return func(gateway *policy.Gateway) { gateway.Outcome(host.now, outcome) }, fields.err
 	},
-	"HANGUP": func(h *host, i int) (func(*policy.Gateway), error) {
-		id, err := h.line.Text("id")
-		return func(g *policy.Gateway) { g.Gone(h.now, id) }, err
+	"HANGUP": func(host *simulatorHost, instance int) (func(*policy.Gateway), error) {
+		id, err := host.line.Text("id")
+		return func(gateway *policy.Gateway) { gateway.Gone(host.now, id) }, err
 	},
-	"ALARM": func(h *host, i int) (func(*policy.Gateway), error) {
-		token, err := h.line.Uint("mark")
-		return func(g *policy.Gateway) { g.Timer(h.now, token) }, err
+	"ALARM": func(host *simulatorHost, instance int) (func(*policy.Gateway), error) {
+		token, err := host.line.Uint("mark")
+		return func(gateway *policy.Gateway) { gateway.Timer(host.now, token) }, err
 	},
-	"CHECK_RESULT": func(h *host, i int) (func(*policy.Gateway), error) {
-		f := fields{l: &h.line}
-		p := policy.ProbeResult{Server: f.text("backend"), Status: f.status(), SpentS: f.optNum("spentS"), Load: f.load()}
-		return func(g *policy.Gateway) { g.Probed(h.now, p) }, f.err
+	"CHECK_RESULT": func(host *simulatorHost, instance int) (func(*policy.Gateway), error) {
+		fields := fieldReader{line: &host.line}
+		result := policy.ProbeResult{Server: fields.text("backend"), Status: fields.status(), SpentS: fields.optFloat("spentS"), Load: fields.load()}
+		return func(gateway *policy.Gateway) { gateway.Probed(host.now, result) }, fields.err
 	},
-	"DATAGRAM": func(h *host, i int) (func(*policy.Gateway), error) {
-		from, err := h.line.Int("sender")
+	"DATAGRAM": func(host *simulatorHost, instance int) (func(*policy.Gateway), error) {
+		from, err := host.line.Int("sender")
 		if err != nil {
 			return nil, err
 		}
-		data, err := h.line.Hex("data")
-		return func(g *policy.Gateway) { g.Peer(h.now, from, data) }, err
+		data, err := host.line.Hex("data")
+		return func(gateway *policy.Gateway) { gateway.Peer(host.now, from, data) }, err
 	},
-	"TALLY_BACK": func(*host, int) (func(*policy.Gateway), error) { return nil, nil },
+	"TALLY_BACK": func(*simulatorHost, int) (func(*policy.Gateway), error) { return nil, nil },
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire reads and writes the lines of the simulator's protocol. It knows
-// their form, not what to do about them.
+// Package wire reads and writes the lines of the simulator's protocol. It handles
+// their syntax; the caller interprets them.
 package wire
 
 import (
@@ -12,250 +12,257 @@
 	"strings"
 )
 
-// Line is one message: a name and its fields in the order in which they came.
+// Line is one message: a name and its fields in the order received.
 type Line struct {
 	Name   string
 	fields []field
 }
 
+// field is one name=value pair of a line.
 type field struct{ name, value string }
 
-// Reader reads lines.
+// Reader reads lines from an input.
 type Reader struct {
-	r    *bufio.Reader
-	long []byte
+	input    *bufio.Reader
+	longLine []byte
 }
 
 // NewReader returns a Reader on r.
-func NewReader(r io.Reader) *Reader { return &Reader{r: bufio.NewReaderSize(r, 1<<20)} }
+func NewReader(input io.Reader) *Reader { return &Reader{input: bufio.NewReaderSize(input, 1<<20)} }
 
-// Next reads the next line into l. It returns io.EOF at the end of the input.
-func (r *Reader) Next(l *Line) error {
-	raw, err := r.r.ReadSlice('\n')
+// Next reads the next line into line. It returns io.EOF at the end of the input.
+func (reader *Reader) Next(line *Line) error {
+	raw, err := reader.input.ReadSlice('\n')
 	if err == bufio.ErrBufferFull {
-		r.long = append(r.long[:0], raw...)
+		reader.longLine = append(reader.longLine[:0], raw...)
 		for err == bufio.ErrBufferFull {
-			raw, err = r.r.ReadSlice('\n')
-			r.long = append(r.long, raw...)
+			raw, err = reader.input.ReadSlice('\n')
+			reader.longLine = append(reader.longLine, raw...)
 		}
-		raw = r.long
+		raw = reader.longLine
 	}
 	if err != nil && (err != io.EOF || len(raw) == 0) {
 		return err
 	}
-	return l.parse(string(bytes.TrimRight(raw, "\r\n")))
+	return line.parse(string(bytes.TrimRight(raw, "\r\n")))
 }
 
-// parse splits a line; the fields named in textFields run to its end.
-func (l *Line) parse(s string) error {
-	l.fields = l.fields[:0]
-	name, rest, more := strings.Cut(s, "\t")
-	l.Name = name
+// parse splits a line at its tabs; the value of the field settings runs to the end of the line.
+func (line *Line) parse(text string) error {
+	line.fields = line.fields[:0]
+	name, rest, more := strings.Cut(text, "\t")
+	line.Name = name
 	if name == "" {
 		return fmt.Errorf("malformed line: no message name")
 	}
 	for more {
 		var part string
-		if k, v, ok := strings.Cut(rest, "="); ok && k == "settings" && !strings.Contains(k, "\t") {
-			l.fields = append(l.fields, field{k, v})
+		if key, value, ok := strings.Cut(rest, "="); ok && key == "settings" && !strings.Contains(key, "\t") {
+			line.fields = append(line.fields, field{key, value})
 			return nil
 		}
 		part, rest, more = strings.Cut(rest, "\t")
-		k, v, ok := strings.Cut(part, "=")
-		if !ok || k == "" {
+		key, value, ok := strings.Cut(part, "=")
+		if !ok || key == "" {
 			return fmt.Errorf("%s: malformed field %q", name, part)
 		}
-		l.fields = append(l.fields, field{k, v})
+		line.fields = append(line.fields, field{key, value})
 	}
 	return nil
 }
 
-// Has tells whether the field came with the line.
-func (l *Line) Has(name string) bool { _, ok := l.get(name); return ok }
+// Has reports whether the line contains the field.
+func (line *Line) Has(name string) bool { _, ok := line.get(name); return ok }
 
-func (l *Line) get(name string) (string, bool) {
-	for i := range l.fields {
-		if l.fields[i].name == name {
-			return l.fields[i].value, true
+func (line *Line) get(name string) (string, bool) {
+	for i := range line.fields {
+		if line.fields[i].name == name {
+			return line.fields[i].value, true
 		}
 	}
 	return "", false
 }
 
-func (l *Line) missing(name string) error { return fmt.Errorf("%s: field %s is missing", l.Name, name) }
+func (line *Line) missing(name string) error {
+	return fmt.Errorf("%s: field %s is missing", line.Name, name)
+}
 
-func (l *Line) bad(name, v string) error {
-	return fmt.Errorf("%s: field %s cannot be read: %q", l.Name, name, v)
+func (line *Line) malformed(name, value string) error {
+	return fmt.Errorf("%s: field %s cannot be read: %q", line.Name, name, value)
 }
 
-// Text returns a required text field.
-func (l *Line) Text(name string) (string, error) {
-	v, ok := l.get(name)
-	if !ok || v == "" {
-		return "", l.missing(name)
+// Text returns a required text field, which must not be empty.
+func (line *Line) Text(name string) (string, error) {
+	value, ok := line.get(name)
+	if !ok || value == "" {
+		return "", line.missing(name)
 	}
-	return v, nil
+	return value, nil
 }
 
-// Int returns a required whole number.
-func (l *Line) Int(name string) (int, error) {
-	if !l.Has(name) {
-		return 0, l.missing(name)
+// Int returns a required integer.
+func (line *Line) Int(name string) (int, error) {
+	if !line.Has(name) {
+		return 0, line.missing(name)
 	}
-	return l.OptInt(name)
+	return line.OptInt(name)
 }
 
-// OptInt returns a whole number, 0 where it was left off.
-func (l *Line) OptInt(name string) (int, error) {
-	v, ok := l.get(name)
+// OptInt returns an optional integer, 0 if the field is absent.
+func (line *Line) OptInt(name string) (int, error) {
+	value, ok := line.get(name)
 	if !ok {
 		return 0, nil
 	}
-	n, err := strconv.Atoi(v)
+	number, err := strconv.Atoi(value)
 	if err != nil {
-		return 0, l.bad(name, v)
+		return 0, line.malformed(name, value)
 	}
-	return n, nil
+	return number, nil
 }
 
-// Uint returns a required whole number of up to 64 bits.
-func (l *Line) Uint(name string) (uint64, error) {
-	v, ok := l.get(name)
+// Uint returns a required unsigned integer of up to 64 bits.
+func (line *Line) Uint(name string) (uint64, error) {
+	value, ok := line.get(name)
 	if !ok {
-		return 0, l.missing(name)
+		return 0, line.missing(name)
 	}
-	n, err := strconv.ParseUint(v, 10, 64)
+	number, err := strconv.ParseUint(value, 10, 64)
 	if err != nil {
-		return 0, l.bad(name, v)
+		return 0, line.malformed(name, value)
 	}
-	return n, nil
+	return number, nil
 }
 
-// Num returns a required number.
-func (l *Line) Num(name string) (float64, error) {
-	if !l.Has(name) {
-		return 0, l.missing(name)
+// Float returns a required number.
+func (line *Line) Float(name string) (float64, error) {
+	if !line.Has(name) {
+		return 0, line.missing(name)
 	}
-	return l.OptNum(name)
+	return line.OptFloat(name)
 }
 
-// OptNum returns a number, 0 where it was left off.
-func (l *Line) OptNum(name string) (float64, error) {
-	v, ok := l.get(name)
+// OptFloat returns an optional number, 0 if the field is absent.
+func (line *Line) OptFloat(name string) (float64, error) {
+	value, ok := line.get(name)
 	if !ok {
 		return 0, nil
 	}
-	x, err := strconv.ParseFloat(v, 64)
-	if err != nil || x != x || x > 1e18 || x < -1e18 {
-		return 0, l.bad(name, v)
+	number, err := strconv.ParseFloat(value, 64)
+	if err != nil || number != number || number > 1e18 || number < -1e18 {
+		return 0, line.malformed(name, value)
 	}
-	return x, nil
+	return number, nil
 }
 
-// OptBool returns a bool, false where it was left off.
-func (l *Line) OptBool(name string) (bool, error) {
-	v, ok := l.get(name)
-	if !ok || v == "0" {
+// OptBool returns an optional bool, false if the field is absent.
+func (line *Line) OptBool(name string) (bool, error) {
+	value, ok := line.get(name)
+	if !ok || value == "0" {
 		return false, nil
 	}
-	if v != "1" {
-		return false, l.bad(name, v)
+	if value != "1" {
+		return false, line.malformed(name, value)
 	}
 	return true, nil
 }
 
-// Hex returns a required field of bytes.
-func (l *Line) Hex(name string) ([]byte, error) {
-	v, ok := l.get(name)
+// Hex returns a required field of hexadecimal bytes, nil for "-".
+func (line *Line) Hex(name string) ([]byte, error) {
+	value, ok := line.get(name)
 	if !ok {
-		return nil, l.missing(name)
+		return nil, line.missing(name)
 	}
-	if v == "-" {
+	if value == "-" {
 		return nil, nil
 	}
-	b, err := hex.DecodeString(v)
+	decoded, err := hex.DecodeString(value)
 	if err != nil {
-		return nil, l.bad(name, v)
+		return nil, line.malformed(name, value)
 	}
-	return b, nil
+	return decoded, nil
 }
 
-// Pairs calls f for each name:value of an optional field.
-func (l *Line) Pairs(name string, f func(name string, v float64)) (bool, error) {
-	v, ok := l.get(name)
-	if !ok || v == "" {
+// Pairs calls visit for each name:value pair of an optional field and reports whether the field has any.
+func (line *Line) Pairs(name string, visit func(name string, value float64)) (bool, error) {
+	value, ok := line.get(name)
+	if !ok || value == "" {
 		return false, nil
 	}
-	for part := range strings.SplitSeq(v, ",") {
-		k, x, ok := strings.Cut(part, ":")
-		n, err := strconv.ParseFloat(x, 64)
+	for part := range strings.SplitSeq(value, ",") {
+		key, text, ok := strings.Cut(part, ":")
+		number, err := strconv.ParseFloat(text, 64)
 		if !ok || err != nil {
-			return false, l.bad(name, v)
+			return false, line.malformed(name, value)
 		}
-		f(k, n)
+		visit(key, number)
 	}
 	return true, nil
 }
 
-// Writer gathers the lines of one reply.
+// Writer buffers the lines of one reply.
 type Writer struct {
-	w *bufio.Writer
-	b []byte
+	output *bufio.Writer
+	line   []byte
 }
 
 // NewWriter returns a Writer on w.
-func NewWriter(w io.Writer) *Writer { return &Writer{w: bufio.NewWriterSize(w, 1<<18)} }
+func NewWriter(output io.Writer) *Writer { return &Writer{output: bufio.NewWriterSize(output, 1<<18)} }
 
-// Begin starts a line for an instance.
-func (w *Writer) Begin(name string, inst int) *Writer {
-	w.b = append(append(w.b[:0], name...), "\ti="...)
-	w.b = strconv.AppendInt(w.b, int64(inst), 10)
-	return w
+// Begin starts a line that belongs to an instance.
+func (writer *Writer) Begin(name string, instance int) *Writer {
+	writer.line = append(append(writer.line[:0], name...), "\ti="...)
+	writer.line = strconv.AppendInt(writer.line, int64(instance), 10)
+	return writer
 }
 
-func (w *Writer) key(name string) {
-	w.b = append(append(append(w.b, '\t'), name...), '=')
+func (writer *Writer) startField(name string) {
+	writer.line = append(append(append(writer.line, '\t'), name...), '=')
 }
 
-// Str adds a text field.
-func (w *Writer) Str(name, v string) *Writer {
-	w.key(name)
-	w.b = append(w.b, strings.NewReplacer("\n", " ", "\r", " ", "\t", " ").Replace(v)...)
-	return w
+// Text adds a text field.
+func (writer *Writer) Text(name, value string) *Writer {
+	writer.startField(name)
+	writer.line = append(writer.line, strings.NewReplacer("\n", " ", "\r", " ", "\t", " ").Replace(value)...)
+	return writer
 }
 
-// ID adds a field whose text came from the wire and goes back as it was.
-func (w *Writer) ID(name, v string) *Writer { w.key(name); w.b = append(w.b, v...); return w }
+// ID adds a field whose text came from the wire and is returned unchanged.
+func (writer *Writer) ID(name, value string) *Writer {
+	writer.startField(name)
+	writer.line = append(writer.line, value...)
+	return writer
+}
 
-// Int adds a whole number.
-func (w *Writer) Int(name string, v int64) *Writer {
-	w.key(name)
-	w.b = strconv.AppendInt(w.b, v, 10)
-	return w
+// Int adds an integer.
+func (writer *Writer) Int(name string, value int64) *Writer {
+	writer.startField(name)
+	writer.line = strconv.AppendInt(writer.line, value, 10)
+	return writer
 }
 
-// Num adds a number, to the microsecond.
-func (w *Writer) Num(name string, v float64) *Writer {
-	w.key(name)
-	w.b = strconv.AppendFloat(w.b, v, 'f', 6, 64)
-	return w
+// Float adds a number with six decimals.
+func (writer *Writer) Float(name string, value float64) *Writer {
+	writer.startField(name)
+	writer.line = strconv.AppendFloat(writer.line, value, 'f', 6, 64)
+	return writer
 }
 
-// Hex adds a field of bytes.
-func (w *Writer) Hex(name string, v []byte) *Writer {
-	w.key(name)
-	if len(v) == 0 {
-		w.b = append(w.b, '-')
+// Hex adds a field of bytes in hexadecimal, "-" for none.
+func (writer *Writer) Hex(name string, value []byte) *Writer {
+	writer.startField(name)
+	if len(value) == 0 {
+		writer.line = append(writer.line, '-')
 	}
-	w.b = hex.AppendEncode(w.b, v)
-	return w
+	writer.line = hex.AppendEncode(writer.line, value)
+	return writer
 }
 
-// End ends the line.
-func (w *Writer) End() { w.w.Write(append(w.b, '\n')) }
+// End writes the line to the buffer.
+func (writer *Writer) End() { writer.output.Write(append(writer.line, '\n')) }
 
-// Flush ends the reply.
-func (w *Writer) Flush() error {
-	w.w.WriteString("NEXT\n")
-	return w.w.Flush()
+// Flush ends the reply and sends it.
+func (writer *Writer) Flush() error {
+	writer.output.WriteString("NEXT\n")
+	return writer.output.Flush()
 }
