--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -101,6 +101,7 @@
 	defer fake.mu.Unlock()
 	return len(fake.calls)
 }
+
 func (fake *fakeCore) cancelledCount() int {
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
@@ -186,10 +187,10 @@
 	if r, err := client.Do(acmeContext(), doRequest("sign.submit", "k1", "img")); err != nil || string(r.GetReply()) != "+did k1\r\n" {
 		t.Fatal(r, err)
 	}
-	for name, x := range map[string]struct {
-		ctx  context.Context
-		r    *pb.DoRequest
-		code codes.Code
+	for name, test := range map[string]struct {
+		ctx     context.Context
+		request *pb.DoRequest
+		code    codes.Code
 	}{
 		"no credentials":  {context.Background(), doRequest("JOB.STATUS", "1"), codes.Unauthenticated},
 		"wrong secret":    {withCredentials("acme", "x"), doRequest("JOB.STATUS", "1"), codes.Unauthenticated},
@@ -202,9 +203,9 @@
 		"too large":       {acmeContext(), doRequest("JOB.STATUS", strings.Repeat("x", 2<<20)), codes.ResourceExhausted},
 	} {
 		before := fake.submittedCount()
-		_, err := client.Do(x.ctx, x.r)
-		if status.Code(err) != x.code {
-			t.Errorf("%s: %v, want %v", name, err, x.code)
+		_, err := client.Do(test.ctx, test.request)
+		if status.Code(err) != test.code {
+			t.Errorf("%s: %v, want %v", name, err, test.code)
 		}
 		if n := fake.submittedCount() - before; n > 1 {
 			t.Errorf("%s: the core was asked %d times", name, n)
@@ -496,10 +497,10 @@
 
 // A connection beyond the limit is closed, open ones continue, and a closed one makes room for another.
 func TestConnectionsAreBounded(t *testing.T) {
-	srv, _ := startServer(t, func(g *config.GRPC) { g.Connections = 1 })
+	srv, _ := startServer(t, func(settings *config.GRPC) { settings.Connections = 1 })
 	first, second := dial(t, srv, nil), dial(t, srv, nil)
-	ask := func(c *grpc.ClientConn) error {
-		_, err := pb.NewGatewayClient(c).Do(acmeContext(), doRequest("JOB.STATUS", "1"))
+	ask := func(conn *grpc.ClientConn) error {
+		_, err := pb.NewGatewayClient(conn).Do(acmeContext(), doRequest("JOB.STATUS", "1"))
 		return err
 	}
 	if err := ask(first); err != nil {
@@ -563,25 +564,25 @@
 }
 
 func TestTLS(t *testing.T) {
-	a := &certificateAuthority{t: t, dir: t.TempDir()}
-	ca, _ := a.issue("authority", false)
-	cert, key := a.issue("server", true)
-	srv, _ := startServer(t, func(g *config.GRPC) { g.Certificate, g.Key, g.CAs = cert, key, ca })
+	authority := &certificateAuthority{t: t, dir: t.TempDir()}
+	ca, _ := authority.issue("authority", false)
+	cert, key := authority.issue("server", true)
+	srv, _ := startServer(t, func(settings *config.GRPC) { settings.Certificate, settings.Key, settings.CAs = cert, key, ca })
 	pool := x509.NewCertPool()
-	pool.AddCert(a.cert)
+	pool.AddCert(authority.cert)
 	ask := func(ctx context.Context, change func(*tls.Config)) error {
-		tc := &tls.Config{RootCAs: pool, ServerName: "localhost"}
-		change(tc)
-		_, err := pb.NewGatewayClient(dial(t, srv, credentials.NewTLS(tc))).Do(ctx, doRequest("JOB.STATUS", "1"))
+		tlsConfig := &tls.Config{RootCAs: pool, ServerName: "localhost"}
+		change(tlsConfig)
+		_, err := pb.NewGatewayClient(dial(t, srv, credentials.NewTLS(tlsConfig))).Do(ctx, doRequest("JOB.STATUS", "1"))
 		return err
 	}
 	with := func(name string) func(*tls.Config) {
-		c, k := a.issue(name, false)
-		pair, err := tls.LoadX509KeyPair(c, k)
+		certFile, keyFile := authority.issue(name, false)
+		pair, err := tls.LoadX509KeyPair(certFile, keyFile)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return func(tc *tls.Config) { tc.Certificates = []tls.Certificate{pair} }
+		return func(tlsConfig *tls.Config) { tlsConfig.Certificates = []tls.Certificate{pair} }
 	}
 	if err := ask(context.Background(), with("acme")); err != nil {
 		t.Error("a client's certificate:", err)
@@ -592,22 +593,22 @@
 	if err := ask(acmeContext(), func(*tls.Config) {}); err != nil {
 		t.Error("a secret over TLS:", err)
 	}
-	if err := ask(acmeContext(), func(tc *tls.Config) { tc.MaxVersion = tls.VersionTLS12 }); status.Code(err) != codes.Unavailable {
+	if err := ask(acmeContext(), func(tlsConfig *tls.Config) { tlsConfig.MaxVersion = tls.VersionTLS12 }); status.Code(err) != codes.Unavailable {
 		t.Error("TLS 1.2:", err)
 	}
 	other := &certificateAuthority{t: t, dir: t.TempDir()}
 	other.issue("authority", false)
-	c, k := other.issue("acme", false)
-	pair, err := tls.LoadX509KeyPair(c, k)
+	certFile, keyFile := other.issue("acme", false)
+	pair, err := tls.LoadX509KeyPair(certFile, keyFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	// Sends the certificate regardless of the authorities that the server accepts, as an attacker would.
-	forge := func(tc *tls.Config) {
-		tc.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &pair, nil }
+	forge := func(tlsConfig *tls.Config) {
+		tlsConfig.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &pair, nil }
 	}
 	if err := ask(context.Background(), forge); err == nil {
-		t.Error("a certificate of another authority was taken")
+		t.Error("a certificate of another authority was accepted")
 	}
 	if _, err := Start(nil, Options{GRPC: config.GRPC{Certificate: "none", Key: "none"}}); err == nil {
 		t.Error("files that are not there")
