--- a/cmd/cometpond/box.go
+++ b/cmd/cometpond/box.go
@@ -9,18 +9,19 @@
 	"cometpond/internal/standin"
 )
 
-func box(logger newLogger) *cobra.Command {
+// boxCommand runs a simulated back-end server.
+func boxCommand(logger newLogger) *cobra.Command {
 	var listen string
-	p := standin.DefaultParams
-	c := &cobra.Command{
+	params := standin.DefaultParams
+	cmd := &cobra.Command{
 		Use:   "box FILE",
-		Short: "Run one stand-in of a queue box, for trying things out",
-		Long: `Run a box that answers the commands of FILE over RESP. Each takes about a tenth of its class's aim on a core, and
-repeats of a submission key are dropped for as long as the class says.`,
+		Short: "Run one simulated queue server, for experiments",
+		Long: `Run a simulated server that answers the commands of FILE over RESP. Each command takes about a tenth of the target
+latency of its class on one core. Repeats of a submission key are dropped for as long as the class says.`,
 		Example: "  cometpond box examples/one.sexp --listen 127.0.0.1:7401",
 		Args:    cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			log, err := logger(c.ErrOrStderr())
+		RunE: func(cmd *cobra.Command, args []string) error {
+			log, err := logger(cmd.ErrOrStderr())
 			if err != nil {
 				return err
 			}
@@ -28,22 +29,22 @@
 			if err != nil {
 				return err
 			}
-			b, err := standin.NewBox(listen, standin.BoxOptions{Params: p, Jobs: standin.Jobs(cfg, 0.1), Seed: 1, Load: cfg.Backend.Load})
+			server, err := standin.NewBox(listen, standin.BoxOptions{Params: params, Jobs: standin.Jobs(cfg, 0.1), Seed: 1, Load: cfg.Backend.Load})
 			if err != nil {
 				return err
 			}
-			log.Info().Str("listen", b.Addr()).Int("cores", p.Cores).Msg("box stands in")
-			<-c.Context().Done()
-			b.Close()
+			log.Info().Str("listen", server.Addr()).Int("cores", params.Cores).Msg("simulated server is listening")
+			<-cmd.Context().Done()
+			server.Close()
 			return nil
 		},
 	}
-	c.Flags().StringVar(&listen, "listen", "", "address to listen on")
-	c.Flags().IntVar(&p.Cores, "cores", p.Cores, "cores")
-	c.Flags().Float64Var(&p.Speed, "speed", p.Speed, "speed of a core, 1 as usual")
-	c.Flags().IntVar(&p.Queue, "queue", p.Queue, "requests that may wait")
-	if err := c.MarkFlagRequired("listen"); err != nil {
+	cmd.Flags().StringVar(&listen, "listen", "", "address to listen on")
+	cmd.Flags().IntVar(&params.Cores, "cores", params.Cores, "cores")
+	cmd.Flags().Float64Var(&params.Speed, "speed", params.Speed, "speed of a core, 1 as usual")
+	cmd.Flags().IntVar(&params.Queue, "queue", params.Queue, "requests that may wait")
+	if err := cmd.MarkFlagRequired("listen"); err != nil {
 		panic(fmt.Sprint("box: ", err))
 	}
-	return c
+	return cmd
 }
