--- a/examples/limits/main.go
+++ b/examples/limits/main.go
@@ -1,8 +1,8 @@
-// Command limits asks a gateway for units and then for work over gRPC, as an in-house client would:
+// Command limits sends requests to a gateway over gRPC and obeys its rate limit, as an in-house client would:
 //
 //	go run ./examples/limits -addr 127.0.0.1:7380 -client acme -secret acme-secret
 //
-// Refused (RESOURCE_EXHAUSTED) is repeated after the delay that the gateway names; anything else is not.
+// A refused request (RESOURCE_EXHAUSTED) is retried after the delay that the gateway returns; no other error is retried.
 package main
 
 import (
@@ -34,17 +34,18 @@
 	}
 }
 
+// run sends 25 requests and prints the replies.
 func run(addr, client, secret string) error {
 	conn, err := grpc.NewClient(addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	gate := pb.NewGatewayClient(conn)
+	gateway := pb.NewGatewayClient(conn)
 	ctx := metadata.AppendToOutgoingContext(context.Background(), "authorization",
 		"Basic "+base64.StdEncoding.EncodeToString([]byte(client+":"+secret)))
 	for i := range 25 {
-		reply, err := do(ctx, gate, "JOB.STATUS", fmt.Sprint(i))
+		reply, err := do(ctx, gateway, "JOB.STATUS", fmt.Sprint(i))
 		if err != nil {
 			return err
 		}
@@ -53,25 +54,25 @@
 	return nil
 }
 
-// do asks for work, and again while the gateway says that this is harmless.
-func do(ctx context.Context, gate pb.GatewayClient, words ...string) (string, error) {
-	req := &pb.DoRequest{}
-	for _, w := range words {
-		req.Words = append(req.Words, []byte(w))
+// do sends one request and retries it while the gateway refuses it, which is safe because a refused request did not run.
+func do(ctx context.Context, gateway pb.GatewayClient, words ...string) (string, error) {
+	request := &pb.DoRequest{}
+	for _, word := range words {
+		request.Words = append(request.Words, []byte(word))
 	}
 	for {
-		within, cancel := context.WithTimeout(ctx, 5*time.Second)
-		res, err := gate.Do(within, req)
+		requestCtx, cancel := context.WithTimeout(ctx, 5*time.Second)
+		response, err := gateway.Do(requestCtx, request)
 		cancel()
 		if status.Code(err) != codes.ResourceExhausted {
-			return string(res.GetReply()), err
+			return string(response.GetReply()), err
 		}
-		wait := time.Second
-		for _, d := range status.Convert(err).Details() {
-			if r, ok := d.(*errdetails.RetryInfo); ok {
-				wait = r.GetRetryDelay().AsDuration()
+		retryDelay := time.Second
+		for _, detail := range status.Convert(err).Details() {
+			if retryInfo, ok := detail.(*errdetails.RetryInfo); ok {
+				retryDelay = retryInfo.GetRetryDelay().AsDuration()
 			}
 		}
-		time.Sleep(wait)
+		time.Sleep(retryDelay)
 	}
 }
