--- a/cmd/cometpond/box.go
+++ b/cmd/cometpond/box.go
@@ -29,7 +29,7 @@
 			if err != nil {
 				return err
 			}
-			server, err := standin.NewBox(listen, standin.BoxOptions{Params: params, Jobs: standin.Jobs(cfg, 0.1), Seed: 1, Load: cfg.Backend.Load})
+			server, err := standin.NewServer(listen, standin.ServerOptions{Params: params, Jobs: standin.Jobs(cfg, 0.1), Seed: 1, Load: cfg.Backend.LoadSource})
 			if err != nil {
 				return err
 			}
@@ -42,7 +42,7 @@
 	cmd.Flags().StringVar(&listen, "listen", "", "address to listen on")
 	cmd.Flags().IntVar(&params.Cores, "cores", params.Cores, "cores")
 	cmd.Flags().Float64Var(&params.Speed, "speed", params.Speed, "speed of a core, 1 as usual")
-	cmd.Flags().IntVar(&params.Queue, "queue", params.Queue, "requests that may wait")
+	cmd.Flags().IntVar(&params.QueueLength, "queue", params.QueueLength, "requests that may wait")
 	if err := cmd.MarkFlagRequired("listen"); err != nil {
 		panic(fmt.Sprint("box: ", err))
 	}
--- a/cmd/cometpond/day.go
+++ b/cmd/cometpond/day.go
@@ -59,10 +59,10 @@
 				script.Rate = rate
 			}
 			if length > 0 {
-				script.Stretch(length)
+				script.ScaleTo(length)
 			}
 			if sabotage != "" {
-				if _, err := day.Sabotage(sabotage); err != nil {
+				if _, err := day.ViolationHooks(sabotage); err != nil {
 					return err
 				}
 			}
@@ -80,7 +80,7 @@
 			if verbose {
 				options.Output = cmd.ErrOrStderr()
 			}
-			verdict, err := day.Play(cmd.Context(), script, options)
+			verdict, err := day.Run(cmd.Context(), script, options)
 			if err != nil {
 				return err
 			}
--- a/cmd/cometpond/serve.go
+++ b/cmd/cometpond/serve.go
@@ -37,7 +37,7 @@
 			}
 			options := instance.Options{Log: log}
 			if sabotage != "" {
-				if options.Hooks, err = day.Sabotage(sabotage); err != nil {
+				if options.Hooks, err = day.ViolationHooks(sabotage); err != nil {
 					return err
 				}
 				log.Warn().Str("rule", sabotage).Msg("this instance breaks a rule on purpose")
@@ -46,9 +46,9 @@
 			if err != nil {
 				return err
 			}
-			log.Info().Int("instance", cfg.Me).Str("listen", cfg.Listen).Int("clients", len(cfg.Clients)).Msg("serving")
+			log.Info().Int("instance", cfg.Self).Str("listen", cfg.Listen).Int("clients", len(cfg.Clients)).Msg("serving")
 			<-cmd.Context().Done()
-			log.Info().Dur("at_most", cfg.Drain).Msg("shutting down; waiting for requests in flight")
+			log.Info().Dur("at_most", cfg.DrainTimeout).Msg("shutting down; waiting for requests in flight")
 			running.Stop(context.Background())
 			return nil
 		},
@@ -72,7 +72,7 @@
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: good: instance %d of %d, %d classes, %d plans, %d commands, %d clients\n", args[0],
-				cfg.Me, max(1, len(cfg.Instances)), len(cfg.Classes), len(cfg.Plans), len(cfg.Commands), len(cfg.Clients))
+				cfg.Self, max(1, len(cfg.Instances)), len(cfg.Classes), len(cfg.Plans), len(cfg.Commands), len(cfg.Clients))
 			return nil
 		},
 	}
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -38,8 +38,8 @@
 
 func (writer actionWriter) Send(id, server string, timing policy.Timing) {
 	line := writer.out.Begin("FORWARD", writer.instance).ID("id", id).ID("backend", server)
-	if timing.AnswerS != 0 {
-		line.Float("withinS", timing.AnswerS)
+	if timing.AnswerWithinS != 0 {
+		line.Float("withinS", timing.AnswerWithinS)
 	}
 	line.End()
 }
@@ -71,7 +71,7 @@
 	writer.out.Begin("HEALTH_CHECK", writer.instance).ID("backend", server).End()
 }
 
-func (writer actionWriter) Tell(gateway int, data []byte) {
+func (writer actionWriter) SendToPeer(gateway int, data []byte) {
 	writer.out.Begin("BROADCAST_TO", writer.instance).Int("addressee", int64(gateway)).Hex("data", data).End()
 }
 
@@ -166,7 +166,7 @@
 			return fmt.Errorf("%s: ITEM expected", host.line.Name)
 		}
 		server := policy.Server{ID: fields.text("backend"), Zone: fields.text("hall"), Cell: fields.optInt("unitGroup"),
-			Weight: fields.optFloat("share"), SinceS: fields.optFloat("sinceS")}
+			Weight: fields.optFloat("share"), StartedAt: fields.optFloat("sinceS")}
 		switch value := fields.text("status"); value {
 		case "U":
 			server.State = policy.Up
@@ -238,8 +238,8 @@
 }
 
 // statusByCode maps the status codes on the wire.
-var statusByCode = map[int]policy.Status{200: policy.OK, 500: policy.Error, 503: policy.Full, 504: policy.Timeout,
-	502: policy.ConnectFailed, 598: policy.Reset, 499: policy.Cancelled, 410: policy.Moot}
+var statusByCode = map[int]policy.Status{200: policy.OK, 500: policy.Error, 503: policy.Rejected, 504: policy.Timeout,
+	502: policy.ConnectFailed, 598: policy.Reset, 499: policy.Cancelled, 410: policy.NotSent}
 
 // load reads the load report of a server; it returns nil if there is none. Values that are not reported are -1.
 func (fields *fieldReader) load() *policy.Load {
@@ -278,7 +278,7 @@
 		if err != nil {
 			return nil, err
 		}
-		parsed, err := terms.Read([]byte(text))
+		parsed, err := terms.Parse([]byte(text))
 		if err != nil {
 			return nil, fmt.Errorf("ENLIST: field settings: %w", err)
 		}
@@ -317,24 +317,24 @@
 	"REQUEST": func(host *simulatorHost, instance int) (func(*policy.Gateway), error) {
 		fields := fieldReader{line: &host.line}
 		request := policy.Request{ID: fields.text("id"), Class: fields.text("kind"), Plan: fields.text("tier"), Customer: fields.text("holder"),
-			DeadlineS: fields.float("dropDeadS"), First: fields.optInt("base"), Entries: int(fields.optFloat("nEntries")),
-			Units: fields.optFloat("costUnits"), Retry: fields.flag("isRetry")}
+			DeadlineAt: fields.float("dropDeadS"), FirstGateway: fields.optInt("base"), GatewayCount: int(fields.optFloat("nEntries")),
+			Units: fields.optFloat("costUnits"), ClientRetry: fields.flag("isRetry")}
 		return func(gateway *policy.Gateway) { gateway.Request(host.now, request) }, fields.err
 	},
 	"FLOWING": func(host *simulatorHost, instance int) (func(*policy.Gateway), error) {
 		fields := fieldReader{line: &host.line}
 		id, attempt := fields.text("id"), fields.integer("hop")
-		return func(gateway *policy.Gateway) { gateway.Started(host.now, id, attempt) }, fields.err
+		return func(gateway *policy.Gateway) { gateway.StreamStarted(host.now, id, attempt) }, fields.err
 	},
 	"VERDICT": func(host *simulatorHost, instance int) (func(*policy.Gateway), error) {
 		fields := fieldReader{line: &host.line}
 		outcome := policy.Outcome{ID: fields.text("id"), Server: fields.text("backend"), Attempt: fields.integer("hop"), Status: fields.status(),
-			Over: fields.flag("terminal"), SpentS: fields.optFloat("spentS"), Units: fields.optFloat("actual"), Load: fields.load()}
+			RequestEnded: fields.flag("terminal"), ElapsedS: fields.optFloat("spentS"), Units: fields.optFloat("actual"), Load: fields.load()}
 		return func(gateway *policy.Gateway) { gateway.Outcome(host.now, outcome) }, fields.err
 	},
 	"HANGUP": func(host *simulatorHost, instance int) (func(*policy.Gateway), error) {
 		id, err := host.line.Text("id")
-		return func(gateway *policy.Gateway) { gateway.Gone(host.now, id) }, err
+		return func(gateway *policy.Gateway) { gateway.RequestAbandoned(host.now, id) }, err
 	},
 	"ALARM": func(host *simulatorHost, instance int) (func(*policy.Gateway), error) {
 		token, err := host.line.Uint("mark")
@@ -342,8 +342,8 @@
 	},
 	"CHECK_RESULT": func(host *simulatorHost, instance int) (func(*policy.Gateway), error) {
 		fields := fieldReader{line: &host.line}
-		result := policy.ProbeResult{Server: fields.text("backend"), Status: fields.status(), SpentS: fields.optFloat("spentS"), Load: fields.load()}
-		return func(gateway *policy.Gateway) { gateway.Probed(host.now, result) }, fields.err
+		result := policy.ProbeResult{Server: fields.text("backend"), Status: fields.status(), ElapsedS: fields.optFloat("spentS"), Load: fields.load()}
+		return func(gateway *policy.Gateway) { gateway.ProbeEnded(host.now, result) }, fields.err
 	},
 	"DATAGRAM": func(host *simulatorHost, instance int) (func(*policy.Gateway), error) {
 		from, err := host.line.Int("sender")
@@ -351,7 +351,7 @@
 			return nil, err
 		}
 		data, err := host.line.Hex("data")
-		return func(gateway *policy.Gateway) { gateway.Peer(host.now, from, data) }, err
+		return func(gateway *policy.Gateway) { gateway.PeerMessage(host.now, from, data) }, err
 	},
 	"TALLY_BACK": func(*simulatorHost, int) (func(*policy.Gateway), error) { return nil, nil },
 }
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -28,13 +28,13 @@
 	probes  chan policy.ProbeResult
 }
 
-func (sink *resultSink) Done(results ...core.Result) {
+func (sink *resultSink) QueueResults(results ...core.Result) {
 	for _, result := range results {
 		sink.results <- result
 	}
 }
-func (sink *resultSink) Deliver(results []core.Result)         { sink.Done(results...) }
-func (sink *resultSink) Probed(probeResult policy.ProbeResult) { sink.probes <- probeResult }
+func (sink *resultSink) HandleResults(results []core.Result)             { sink.QueueResults(results...) }
+func (sink *resultSink) QueueProbeResult(probeResult policy.ProbeResult) { sink.probes <- probeResult }
 
 // testServer passes each command that it receives to the test, which writes the reply. It replies to greetings itself.
 type testServer struct {
@@ -76,7 +76,7 @@
 	var buf []byte
 	chunk := make([]byte, 4096)
 	for {
-		args, length, _, err := resp.Command(buf, nil, resp.DefaultLimits)
+		args, length, _, err := resp.ParseCommand(buf, nil, resp.DefaultLimits)
 		if err != nil {
 			n, err := conn.Read(chunk)
 			if err != nil {
@@ -126,7 +126,7 @@
 	for _, addr := range addrs {
 		list = append(list, policy.Server{ID: addr})
 	}
-	pool.Servers(list, true)
+	pool.UpdateServers(list, true)
 	t.Cleanup(pool.Stop)
 	return pool, sink
 }
@@ -135,8 +135,8 @@
 	t.Helper()
 	select {
 	case result := <-sink.results:
-		if result.Attempt.N != n || result.Status != status || string(result.Payload) != payload {
-			t.Fatalf("attempt %d ended as %d with %q, want attempt %d, %d, %q", result.Attempt.N, result.Status, result.Payload,
+		if result.Attempt.Index != n || result.Status != status || string(result.Payload) != payload {
+			t.Fatalf("attempt %d ended as %d with %q, want attempt %d, %d, %q", result.Attempt.Index, result.Status, result.Payload,
 				n, status, payload)
 		}
 		return result
@@ -147,9 +147,11 @@
 }
 
 // within is the timing of an attempt that must be started, and answered, within so many seconds.
-func within(seconds float64) policy.Timing { return policy.Timing{StartS: seconds, AnswerS: seconds} }
+func within(seconds float64) policy.Timing {
+	return policy.Timing{StartWithinS: seconds, AnswerWithinS: seconds}
+}
 
-func attempt(n int) core.Attempt { return core.Attempt{N: n} }
+func attempt(n int) core.AttemptID { return core.AttemptID{Index: n} }
 
 // doCommand is the command of attempt n.
 func doCommand(n int) []byte { return resp.AppendCommand(nil, "DO", fmt.Sprint(n)) }
@@ -161,8 +163,8 @@
 		reply  string
 		status policy.Status
 	}{{"+OK\r\n", policy.OK}, {"*2\r\n:1\r\n$1\r\nx\r\n", policy.OK}, {"-ERR no such job\r\n", policy.OK},
-		{"-BUSY full\r\n", policy.Full},
-		{"-LOADING\r\n", policy.Full}, {"-TRYAGAIN later\r\n", policy.Error}, {"-INTERNAL oops\r\n", policy.Error}} {
+		{"-BUSY full\r\n", policy.Rejected},
+		{"-LOADING\r\n", policy.Rejected}, {"-TRYAGAIN later\r\n", policy.Error}, {"-INTERNAL oops\r\n", policy.Error}} {
 		pool.Send(attempt(i), srv.listener.Addr().String(), doCommand(i), within(10))
 		cmd := srv.next(t)
 		_, _ = cmd.conn.Write([]byte(test.reply))
@@ -191,15 +193,15 @@
 		t.Fatalf("%d connections, want 2: %v", len(conns), conns)
 	}
 	pool.Send(attempt(4), addr, doCommand(4), within(10))
-	sink.expect(t, 4, policy.Full, "")
+	sink.expect(t, 4, policy.Rejected, "")
 	for conn, numbers := range conns {
 		for _, number := range numbers {
 			_, _ = conn.Write([]byte("+" + number + "\r\n"))
 		}
 	}
 	for range 4 {
-		if result := <-sink.results; string(result.Payload) != fmt.Sprintf("+%d\r\n", result.Attempt.N) {
-			t.Fatalf("attempt %d got %q", result.Attempt.N, result.Payload)
+		if result := <-sink.results; string(result.Payload) != fmt.Sprintf("+%d\r\n", result.Attempt.Index) {
+			t.Fatalf("attempt %d got %q", result.Attempt.Index, result.Payload)
 		}
 	}
 }
@@ -230,7 +232,7 @@
 	srv.next(t)
 	pool.Cancel(attempt(0), addr)
 	pool.Send(attempt(2), addr, doCommand(2), within(10)) // the cancelled attempt blocks the only connection
-	sink.expect(t, 2, policy.Full, "")
+	sink.expect(t, 2, policy.Rejected, "")
 	_, _ = cmd.conn.Write([]byte("+zero\r\n+one\r\n"))
 	sink.expect(t, 1, policy.OK, "+one\r\n")
 	if pool.Counts().LateReplies != 1 {
@@ -307,7 +309,7 @@
 	pool, sink := setup(t, nil, addr)
 	pool.Send(attempt(0), addr, doCommand(0), within(10))
 	cmd := srv.next(t)
-	pool.Servers(nil, true)
+	pool.UpdateServers(nil, true)
 	_, _ = cmd.conn.Write([]byte("+OK\r\n"))
 	sink.expect(t, 0, policy.OK, "+OK\r\n")
 	for end := time.Now().Add(20 * time.Second); pool.Counts().OpenConnections > 0; time.Sleep(5 * time.Millisecond) {
@@ -329,7 +331,7 @@
 		for n := range 100 {
 			list = append(list, policy.Server{ID: fmt.Sprintf("127.1.%d.%d:1", i, n)})
 		}
-		pool.Servers(list, true)
+		pool.UpdateServers(list, true)
 	}
 	pool.mu.Lock()
 	kept := len(pool.servers)
@@ -362,7 +364,7 @@
 	pool, sink := setup(t, func(opt *Options) { opt.DialContext = dialer.dial }, addr)
 	pool.Send(attempt(0), addr, doCommand(0), within(10))
 	pool.Withdraw(attempt(0), addr)
-	sink.expect(t, 0, policy.Moot, "")
+	sink.expect(t, 0, policy.NotSent, "")
 	pool.Send(attempt(1), addr, doCommand(1), within(10))
 	pool.Cancel(attempt(1), addr)
 	close(dialer.allow)
@@ -497,7 +499,7 @@
 	dialer := &delayedDialer{make(chan struct{})}
 	pool, sink := setup(t, func(opt *Options) { opt.DialContext = dialer.dial })
 	pool.SetAddresses(map[string]string{"box": first.listener.Addr().String()})
-	pool.Servers([]policy.Server{{ID: "box"}}, true)
+	pool.UpdateServers([]policy.Server{{ID: "box"}}, true)
 	pool.Send(attempt(0), "box", doCommand(0), within(20))
 	pool.SetAddresses(map[string]string{"box": second.listener.Addr().String()})
 	close(dialer.allow)
@@ -520,10 +522,10 @@
 	addr := srv.listener.Addr().String()
 	dialer := &delayedDialer{make(chan struct{})}
 	pool, sink := setup(t, func(opt *Options) { opt.DialContext = dialer.dial }, addr)
-	pool.Send(attempt(0), addr, doCommand(0), policy.Timing{StartS: 0.05, AnswerS: 20})
+	pool.Send(attempt(0), addr, doCommand(0), policy.Timing{StartWithinS: 0.05, AnswerWithinS: 20})
 	time.Sleep(100 * time.Millisecond)
 	close(dialer.allow)
-	sink.expect(t, 0, policy.Moot, "")
+	sink.expect(t, 0, policy.NotSent, "")
 	if len(srv.commands) != 0 {
 		t.Error("the server received an attempt after its time to start")
 	}
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -41,7 +41,7 @@
 func (srv *server) dialFailed(forProbes bool, err error) {
 	status := policy.ConnectFailed
 	if syserr.Local(err) {
-		status = policy.Moot
+		status = policy.NotSent
 	}
 	if forProbes {
 		srv.endProbe(status, nil)
--- a/internal/backend/reply.go
+++ b/internal/backend/reply.go
@@ -53,7 +53,7 @@
 	limits := rd.Limits()
 	attribute, body := resp.SplitAttribute(reply, limits)
 	if attribute != nil {
-		result.Load = loadFromPairs(resp.Strings(attribute, limits))
+		result.Load = loadFromPairs(resp.ElementTexts(attribute, limits))
 	}
 	if result.Status = replyStatus(body); result.Status == policy.OK {
 		result.Payload = bytes.Clone(body)
@@ -78,12 +78,12 @@
 	}
 	switch string(code) {
 	case "BUSY", "LOADING", "OOM":
-		return policy.Full
+		return policy.Rejected
 	case "INTERNAL", "TRYAGAIN", "CLUSTERDOWN", "MASTERDOWN", "READONLY", "MOVED", "ASK", "NOREPLICAS", "UNKILLABLE":
 		return policy.Error
 	}
 	if bytes.HasPrefix(reply, []byte("-ERR max number of clients")) {
-		return policy.Full
+		return policy.Rejected
 	}
 	return policy.OK
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -15,14 +15,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Listen != "127.0.0.1:7379" || len(c.Boxes) != 3 || len(c.Commands) != 3 || c.Clients[0].Name != "acme" ||
-		c.Clients[0].Secret != HashSecret("acme-secret") || c.Plans[0].Rate != 10 || c.Plans[0].Burst != 20 {
+	if c.Listen != "127.0.0.1:7379" || len(c.Servers) != 3 || len(c.Commands) != 3 || c.Clients[0].Name != "acme" ||
+		c.Clients[0].SecretHash != HashSecret("acme-secret") || c.Plans[0].Rate != 10 || c.Plans[0].Burst != 20 {
 		t.Fatalf("%+v", c)
 	}
 	if k := c.Classes[2]; k.Effect != policy.Keyed || k.KeyScope != policy.ScopeZone || k.KeyTTLS != 7.5 {
 		t.Fatalf("%+v", k)
 	}
-	if s := c.Settings(); s.Gateways != 1 || s.Peers || s.MaxUnits != 1 || len(s.Classes) != 3 {
+	if s := c.Settings(); s.Gateways != 1 || s.PeerMessages || s.MaxUnits != 1 || len(s.Classes) != 3 {
 		t.Fatalf("%+v", s)
 	}
 }
@@ -84,7 +84,7 @@
 		t.Errorf("no key: %v", err)
 	}
 	c, err := Parse("f", strings.Replace(fleet, "KEY", `(key "`+strings.Repeat("ab", 32)+`")`, 1))
-	if err != nil || !c.Settings().Peers || c.Settings().Gateways != 2 || len(c.PeerKey) != 32 {
+	if err != nil || !c.Settings().PeerMessages || c.Settings().Gateways != 2 || len(c.PeerKey) != 32 {
 		t.Errorf("%v %+v", err, c)
 	}
 	if _, err := Parse("f", strings.Replace(fleet, "(instance 1", "(instance 2", 1)); err == nil ||
--- a/internal/day/fleet.go
+++ b/internal/day/fleet.go
@@ -40,10 +40,10 @@
 	clients []*client
 	fresh   []*client // customers that a scan brings
 	eds     *standin.EDS
-	relay   *standin.Relay
-	fronts  []*standin.Stream // in front of each instance's RESP port
-	backs   []*standin.Stream // in front of each box
-	boxes   []*standin.Box
+	relay   *standin.DatagramRelay
+	fronts  []*standin.TCPRelay // in front of each instance's RESP port
+	backs   []*standin.TCPRelay // in front of each box
+	boxes   []*standin.Server
 	list    []policy.Server
 	files   []string
 	listen  []string // where instances listen
@@ -52,11 +52,11 @@
 	mu       sync.Mutex
 	procs    []*process
 	arrivals []audit.Arrival
-	falls    []audit.Fall
+	falls    []audit.Overload
 	killed   [][]span // by instance
-	stalls   []audit.Stall
+	stalls   []audit.Pause
 	heavy    float64
-	restarts []audit.Notice
+	restarts []audit.Acknowledgement
 	rng      *rand.Rand
 }
 
@@ -148,7 +148,7 @@
 			return err
 		}
 		f.listen, peers = append(f.listen, a), append(peers, p)
-		r, err := standin.NewStream("127.0.0.1:0", a, f.s.Seed+uint64(len(f.fronts)))
+		r, err := standin.NewTCPRelay("127.0.0.1:0", a, f.s.Seed+uint64(len(f.fronts)))
 		if err != nil {
 			return err
 		}
@@ -162,7 +162,7 @@
 		}
 	}
 	var err error
-	if f.relay, err = standin.NewRelay(peers, f.s.Seed); err != nil {
+	if f.relay, err = standin.NewDatagramRelay(peers, f.s.Seed); err != nil {
 		return err
 	}
 	if f.cfg, err = config.Parse("day", f.settings(0, peers, "127.0.0.1:1")); err != nil {
@@ -191,7 +191,7 @@
 func (f *fleet) settings(me int, peers []string, eds string) string {
 	var b strings.Builder
 	p := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
-	p(`(ingress (me %d) (zone room-%d) (listen %q) (drain 5s))`, me, me%f.s.Rooms, f.listen[me])
+	p(`(ingress (me %d) (zone room-%d) (listen %q) (drain 5s))`, me, me%f.s.Zones, f.listen[me])
 	p(`(instances (key "%x")`, sha256.Sum256([]byte(fmt.Sprint("day", f.s.Seed))))
 	for i := range peers {
 		a := peers[me]
@@ -238,7 +238,7 @@
 
 func (f *fleet) startBoxes() error {
 	p := standin.DefaultParams
-	p.Speed = max(0.3, f.s.Rate/300*12/float64(f.s.Boxes))
+	p.Speed = max(0.3, f.s.Rate/300*12/float64(f.s.Servers))
 	jobs := standin.Jobs(f.cfg, 1)
 	for name, j := range jobs {
 		j.Work, j.Echo = work[name], 3
@@ -247,12 +247,12 @@
 		}
 		jobs[name] = j
 	}
-	memory := make([]*standin.Memory, f.s.Rooms)
+	memory := make([]*standin.SubmissionKeys, f.s.Zones)
 	for i := range memory {
-		memory[i] = standin.NewMemory()
+		memory[i] = standin.NewSubmissionKeys()
 	}
-	for i := range f.s.Boxes {
-		room := i % f.s.Rooms
+	for i := range f.s.Servers {
+		room := i % f.s.Zones
 		a, err := takePort("tcp")
 		if err != nil {
 			return err
@@ -261,18 +261,18 @@
 		if err != nil {
 			return err
 		}
-		r, err := standin.NewStream(listed, a, f.s.Seed+100+uint64(i))
+		r, err := standin.NewTCPRelay(listed, a, f.s.Seed+100+uint64(i))
 		if err != nil {
 			return err
 		}
 		f.backs = append(f.backs, r)
-		b, err := standin.NewBox(a, standin.BoxOptions{Name: listed, Params: p, Jobs: jobs, Seed: f.s.Seed + uint64(i), Memory: memory[room],
-			Saw: f.saw, Extra: f.extra})
+		b, err := standin.NewServer(a, standin.ServerOptions{Name: listed, Params: p, Jobs: jobs, Seed: f.s.Seed + uint64(i), Keys: memory[room],
+			OnArrival: f.saw, WorkFactor: f.extra})
 		if err != nil {
 			return err
 		}
 		f.boxes = append(f.boxes, b)
-		f.list = append(f.list, policy.Server{ID: listed, Zone: fmt.Sprintf("room-%d", room), Cell: i / f.s.Rooms / 2, Weight: 1})
+		f.list = append(f.list, policy.Server{ID: listed, Zone: fmt.Sprintf("room-%d", room), Cell: i / f.s.Zones / 2, Weight: 1})
 	}
 	return nil
 }
@@ -295,7 +295,7 @@
 	f.mu.Lock()
 	f.killed[i] = append(f.killed[i], span{from: time.Now().Add(-100 * time.Millisecond), to: time.Now().Add(100 * time.Millisecond)})
 	f.mu.Unlock()
-	f.fronts[i].Sever()
+	f.fronts[i].BreakConnections()
 }
 
 // extra makes one request in fifty heavy while the script says so.
@@ -310,25 +310,25 @@
 
 // saw keeps what a box saw. The words are: command, id or key, client, and for keyed ones the try's id.
 func (f *fleet) saw(a standin.Arrival) {
-	r := audit.Arrival{At: a.At, Box: a.Box, Instance: a.Instance, Executed: a.Executed, Try: a.Words[1]}
+	r := audit.Arrival{At: a.At, Server: a.Server, Instance: a.Instance, Executed: a.Executed, AttemptID: a.Words[1]}
 	for _, c := range f.cfg.Commands {
 		if c.Name == a.Words[0] {
 			r.Class = f.cfg.Classes[c.Class].Name
-			if r.Client = a.Words[2]; c.KeyAt > 0 {
-				r.Key, r.Try = a.Words[1], a.Words[3]
+			if r.Client = a.Words[2]; c.KeyIndex > 0 {
+				r.Key, r.AttemptID = a.Words[1], a.Words[3]
 			}
 		}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.arrivals = append(f.arrivals, r)
-	if a.Ruling == standin.Fell {
+	if a.Outcome == standin.Crashed {
 		for _, o := range f.falls {
-			if o.Box == a.Box {
+			if o.Server == a.Server {
 				return
 			}
 		}
-		f.falls = append(f.falls, audit.Fall{At: a.At, Box: a.Box})
+		f.falls = append(f.falls, audit.Overload{At: a.At, Server: a.Server})
 	}
 }
 
@@ -377,7 +377,7 @@
 		return nil
 	}
 	f.mu.Lock()
-	f.restarts = append(f.restarts, audit.Notice{At: time.Now(), Instance: fmt.Sprintf("cometpond-%d", i), Restart: true})
+	f.restarts = append(f.restarts, audit.Acknowledgement{At: time.Now(), Instance: fmt.Sprintf("cometpond-%d", i), Restarted: true})
 	f.mu.Unlock()
 	if err := f.start(i); err != nil {
 		return err
@@ -406,7 +406,7 @@
 }
 
 // during keeps something up for a while and notes the stalls that it means.
-func (f *fleet) during(ctx context.Context, d time.Duration, stalls []audit.Stall, change func(on bool)) {
+func (f *fleet) during(ctx context.Context, d time.Duration, stalls []audit.Pause, change func(on bool)) {
 	f.mu.Lock()
 	from := len(f.stalls)
 	for _, s := range stalls {
@@ -429,7 +429,7 @@
 	f.mu.Lock()
 	p := f.procs[i]
 	f.mu.Unlock()
-	f.during(ctx, d, []audit.Stall{{Instance: i}}, func(on bool) {
+	f.during(ctx, d, []audit.Pause{{Instance: i}}, func(on bool) {
 		signal := syscall.SIGCONT
 		if on {
 			signal = syscall.SIGSTOP
@@ -440,16 +440,16 @@
 
 // wires has the wires in front of instances or boxes carry less, or nothing, for a while. To clients an instance
 // behind one seems to stand still.
-func (f *fleet) wires(ctx context.Context, instances, boxes []int, d time.Duration, change func(r *standin.Stream, on bool)) {
-	var list []*standin.Stream
-	var stalls []audit.Stall
+func (f *fleet) wires(ctx context.Context, instances, boxes []int, d time.Duration, change func(r *standin.TCPRelay, on bool)) {
+	var list []*standin.TCPRelay
+	var stalls []audit.Pause
 	for _, i := range instances {
 		list = append(list, f.fronts[i])
-		stalls = append(stalls, audit.Stall{Instance: i, Wire: true})
+		stalls = append(stalls, audit.Pause{Instance: i, Network: true})
 	}
 	for _, i := range boxes {
 		list = append(list, f.backs[i])
-		stalls = append(stalls, audit.Stall{Box: f.backs[i].Addr(), Wire: true})
+		stalls = append(stalls, audit.Pause{Server: f.backs[i].Addr(), Network: true})
 	}
 	f.during(ctx, d, stalls, func(on bool) {
 		for _, r := range list {
@@ -463,7 +463,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.stalls {
-		if s.Box == "" && s.Instance == i && time.Since(s.To) < time.Second {
+		if s.Server == "" && s.Instance == i && time.Since(s.To) < time.Second {
 			return true
 		}
 	}
@@ -494,7 +494,7 @@
 }
 
 // told is what the discovery server offered, and saw the instances acknowledge.
-func (f *fleet) told() (pushes []audit.Push, notices []audit.Notice) {
+func (f *fleet) told() (pushes []audit.Push, notices []audit.Acknowledgement) {
 	lists, at := f.eds.Pushed()
 	for i, list := range lists {
 		p := audit.Push{At: at[i], Up: map[string]bool{}}
@@ -504,9 +504,9 @@
 		pushes = append(pushes, p)
 	}
 	notices = append(notices, f.restarts...)
-	for _, t := range f.eds.Told() {
+	for _, t := range f.eds.Acknowledgements() {
 		if t.Error == "" && t.Version > 0 {
-			notices = append(notices, audit.Notice{At: t.At, Instance: t.Node, Push: t.Version - 1})
+			notices = append(notices, audit.Acknowledgement{At: t.At, Instance: t.Node, PushIndex: t.Version - 1})
 		}
 	}
 	return pushes, notices
@@ -554,7 +554,7 @@
 	if f.relay != nil {
 		f.relay.Close()
 	}
-	for _, list := range [][]*standin.Stream{f.fronts, f.backs} {
+	for _, list := range [][]*standin.TCPRelay{f.fronts, f.backs} {
 		for _, r := range list {
 			r.Close()
 		}
--- a/internal/edge/config.go
+++ b/internal/edge/config.go
@@ -27,7 +27,7 @@
 	Peers                   []string // an address for each ingress of the tier, its own included
 	PeersAll                string   // reaches all others, "" for none
 	Known                   endpoints.List
-	Terms                   terms.Terms
+	Terms                   terms.Settings
 	Trace                   bool // COMETPOND_EDGE_TRACE is set: answers, and beliefs beside what the sockets show, are logged
 }
 
@@ -86,7 +86,7 @@
 		return nil, errors.New("settings is missing, want the settings object")
 	}
 	var err error
-	if c.Terms, err = terms.Read(w.Settings); err != nil {
+	if c.Terms, err = terms.Parse(w.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	for _, a := range []struct{ name, addr string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
@@ -94,7 +94,7 @@
 			return nil, fmt.Errorf("%s: %w", a.name, err)
 		}
 	}
-	if c.Terms.Peers && c.Terms.Gateways > 1 {
+	if c.Terms.PeerMessages && c.Terms.Gateways > 1 {
 		if err := endpoints.Address(c.PeerListen); err != nil {
 			return nil, fmt.Errorf("peer_listen: %w", err)
 		}
@@ -127,7 +127,7 @@
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
-	if err := c.Terms.Check(); err != nil {
+	if err := c.Terms.Validate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	return c, nil
--- a/internal/edge/config_test.go
+++ b/internal/edge/config_test.go
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.Limits.Sockets != 384 || len(c.Known.Servers) != 1 || c.Terms.Gateways != 2 ||
-		c.Terms.DialTimeoutS != 0.25 || c.Terms.ConnIdleS != 15 || !c.Terms.Parallel || len(c.Terms.Classes) != 3 {
+		c.Terms.DialTimeoutS != 0.25 || c.Terms.ConnIdleS != 15 || !c.Terms.ParallelAttempts || len(c.Terms.Classes) != 3 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -84,23 +84,23 @@
 	}{
 		"unsafe class, no second copies, two attempts": {[]string{`"dedup","keyScope":"zone"`, `"fragile","keyScope":"all"`, `"parallelTries":true`, `"parallelTries":false`, `"maxAttempts":3`, `"maxAttempts":2`},
 			func(s policy.Settings) bool {
-				return s.Classes[1].Effect == policy.Unsafe && !s.Parallel && s.MaxAttempts == 2
+				return s.Classes[1].Effect == policy.Unsafe && !s.ParallelAttempts && s.MaxAttempts == 2
 			}},
 		"keys by cell, a short window": {[]string{`"zone","keyTtlS":7.5`, `"cell","keyTtlS":0.5`},
 			func(s policy.Settings) bool {
 				return s.Classes[1].KeyScope == policy.ScopeCell && s.Classes[1].KeyTTLS == 0.5
 			}},
 		"open requests and no rate": {[]string{`"unitsPerS":1,"peakUnits":4`, `"parallel":3,"unitsPerS":0,"peakUnits":0`},
-			func(s policy.Settings) bool { return s.Plans[1].Parallel == 3 && s.Plans[1].Rate == 0 }},
+			func(s policy.Settings) bool { return s.Plans[1].MaxParallel == 3 && s.Plans[1].Rate == 0 }},
 		"ceiling": {[]string{`"unitsPerS":1,"peakUnits":4`, `"unitsPerS":1,"peakUnits":4,"hardRate":2,"capDepth":9,"ceilingSlack":1`},
 			func(s policy.Settings) bool { return s.Plans[1].CeilingRate == 2 && s.Plans[1].CeilingBurst == 9 }},
 		"nothing allowed": {[]string{`"cancel":true`, `"cancel":false`, `"probes":true`, `"probes":false`, `"peerMessages":true`, `"peerMessages":false`, `"retryAfter":true`, `"retryAfter":false`,
 			`"peer_listen":"127.0.0.1:7946"`, `"peer_listen":""`, `"maxAttempts":3`, `"maxAttempts":1`, `"parallelTries":true`, `"parallelTries":false`},
-			func(s policy.Settings) bool { return !s.Cancel && !s.Probes && !s.Peers && !s.RetryAfter }},
+			func(s policy.Settings) bool { return !s.Cancel && !s.Probes && !s.PeerMessages && !s.RetryAfter }},
 		"no reports, one zone": {[]string{`"how":"probe"`, `"how":"none"`, `"fields":["svc_ms","cpu_share"]`, `"fields":[]`, `"myZone":"room-a"`, `"myZone":""`},
-			func(s policy.Settings) bool { return !s.ReportByProbe && !s.ReportByAnswer && s.Zone == "" }},
+			func(s policy.Settings) bool { return !s.LoadFromProbes && !s.LoadFromAnswers && s.Zone == "" }},
 		"other cold servers": {[]string{`"coldFrom":0.2,"coldS":15,"fallMultiple":2,"fallS":1.5`, `"coldFrom":0,"coldS":0,"fallMultiple":0,"fallS":0`},
-			func(s policy.Settings) bool { return s.ColdS == 0 && s.FallS == 0 }},
+			func(s policy.Settings) bool { return s.ColdPeriodS == 0 && s.OverloadWindowS == 0 }},
 	} {
 		text := goodConfig()
 		for i := 0; i < len(c.change); i += 2 {
--- a/internal/edge/endpoints/endpoints.go
+++ b/internal/edge/endpoints/endpoints.go
@@ -52,7 +52,7 @@
 	}
 	l := List{Seq: *w.Seq, Whole: w.Whole, Dial: map[string]string{}}
 	for i, h := range w.Hosts {
-		s := policy.Server{ID: h.Host, Zone: h.Site, Cell: h.Block, Weight: 1, SinceS: h.BornMS / 1000}
+		s := policy.Server{ID: h.Host, Zone: h.Site, Cell: h.Block, Weight: 1, StartedAt: h.BornMS / 1000}
 		if h.Share != nil {
 			s.Weight = *h.Share
 		}
@@ -177,10 +177,10 @@
 	for i := range l.Servers {
 		s := &l.Servers[i]
 		h, is := w.hosts[s.ID]
-		if is && older && !h.up && s.State == policy.Up && s.SinceS <= h.born {
+		if is && older && !h.up && s.State == policy.Up && s.StartedAt <= h.born {
 			s.State = policy.Draining
 		}
-		w.hosts[s.ID] = backend{max(h.born, s.SinceS), s.State == policy.Up}
+		w.hosts[s.ID] = backend{max(h.born, s.StartedAt), s.State == policy.Up}
 	}
 	if len(w.hosts) > 2*mostHosts {
 		maps.DeleteFunc(w.hosts, func(_ string, h backend) bool { return !h.up })
--- a/internal/instance/measure_test.go
+++ b/internal/instance/measure_test.go
@@ -106,7 +106,7 @@
 				ids[i] = byte(n >> (8 * i))
 			}
 			g.Request(1000+now, policy.Request{ID: string(ids), Class: "job-status", Plan: "wide", Customer: names[n%clients],
-				DeadlineS: 1002.5 + now, Entries: 1, Units: 1, Limit: true})
+				DeadlineAt: 1002.5 + now, GatewayCount: 1, Units: 1, QuotaOnly: true})
 		}
 	}
 	return float64(n) / time.Since(begin).Seconds()
@@ -121,7 +121,7 @@
 func (silent) Cancel(string, int)                     {}
 func (silent) SetTimer(uint64, float64)               {}
 func (silent) Probe(string)                           {}
-func (silent) Tell(int, []byte)                       {}
+func (silent) SendToPeer(int, []byte)                 {}
 func (silent) Log(string)                             {}
 
 // pump keeps one connection busy with a command, so many to a write, and returns the answers a second of
@@ -174,8 +174,8 @@
 	var list []string
 	for i := range 3 {
 		p := standin.DefaultParams
-		p.Cores, p.Queue = 64, 100000
-		b, err := standin.NewBox("127.0.0.1:0", standin.BoxOptions{Params: p, Seed: uint64(i), Jobs: map[string]standin.Job{"JOB.STATUS": {Work: work}}})
+		p.Cores, p.QueueLength = 64, 100000
+		b, err := standin.NewServer("127.0.0.1:0", standin.ServerOptions{Params: p, Seed: uint64(i), Jobs: map[string]standin.Job{"JOB.STATUS": {Work: work}}})
 		if err != nil {
 			tb.Fatal(err)
 		}
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -78,7 +78,7 @@
 	ended   []*Entry // oldest first
 	bytes   int
 	boxes   map[string]*box
-	groups  map[policy.Scope][]*group
+	groups  map[policy.KeyScope][]*group
 	longest float64 // memory of keys, seconds
 }
 
@@ -98,7 +98,7 @@
 
 // New returns an empty table. Longest is the longest time for which boxes remember a key, seconds.
 func New(longest float64) *Table {
-	return &Table{longest: longest, entries: map[string]*Entry{}, boxes: map[string]*box{}, groups: map[policy.Scope][]*group{}}
+	return &Table{longest: longest, entries: map[string]*Entry{}, boxes: map[string]*box{}, groups: map[policy.KeyScope][]*group{}}
 }
 
 // Servers takes in the list of boxes, as the policy module does.
@@ -111,7 +111,7 @@
 			b = &box{}
 			t.boxes[s.ID] = b
 		}
-		if s.SinceS > b.SinceS {
+		if s.StartedAt > b.StartedAt {
 			b.lostAt = 0 // a new process: nothing is known against it
 		}
 		b.Server = s
@@ -133,14 +133,14 @@
 			delete(t.boxes, id)
 		}
 	}
-	for _, scope := range []policy.Scope{policy.ScopeZone, policy.ScopeCell} {
+	for _, scope := range []policy.KeyScope{policy.ScopeZone, policy.ScopeCell} {
 		t.regroup(now, scope)
 	}
 }
 
 // regroup makes the groups anew and keeps since when each has been without a box that is up. A group stays while
 // any of its boxes is known, so that its darkness can be measured.
-func (t *Table) regroup(now float64, scope policy.Scope) {
+func (t *Table) regroup(now float64, scope policy.KeyScope) {
 	byName := map[string]*group{}
 	for _, g := range t.groups[scope] {
 		g.boxes = g.boxes[:0]
@@ -222,7 +222,7 @@
 // A key whose group is without boxes but not yet dark stays there and is refused: elsewhere it might run
 // beside what ran there before. Not covered: an instance that never heard of the key, asked for the repeat
 // just after the home came back or while it alone can't reach the group (docs/ingress.md).
-func (t *Table) Home(now float64, key string, scope policy.Scope, ttl float64) string {
+func (t *Table) Home(now float64, key string, scope policy.KeyScope, ttl float64) string {
 	var best *group
 	var high uint64
 	for _, g := range t.groups[scope] {
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -19,7 +19,7 @@
 
 var sign = &policy.Class{Name: "sign", Effect: policy.Keyed, KeyScope: policy.ScopeZone, KeyTTLS: 7.5}
 
-func rooms(states ...policy.State) []policy.Server {
+func rooms(states ...policy.ServerState) []policy.Server {
 	var list []policy.Server
 	for i, s := range states {
 		list = append(list, policy.Server{ID: fmt.Sprint("box", i), Zone: fmt.Sprint("room", i/2), State: s})
--- a/internal/links/pool_test.go
+++ b/internal/links/pool_test.go
@@ -20,7 +20,7 @@
 
 // deadline is the timing of an attempt that must be started, and answered, by the time until.
 func deadline(now, until float64) policy.Timing {
-	return policy.Timing{StartS: until - now, AnswerS: until - now}
+	return policy.Timing{StartWithinS: until - now, AnswerWithinS: until - now}
 }
 
 // record is what a pool has decided.
@@ -34,15 +34,15 @@
 func newRecord() *record { return &record{written: map[*Conn][]int{}, ended: map[int]policy.Status{}} }
 
 func (rec *record) Dial() { rec.dials++ }
-func (rec *record) Write(conn *Conn, _ core.Attempt, payload []byte) {
+func (rec *record) Write(conn *Conn, _ core.AttemptID, payload []byte) {
 	rec.written[conn] = append(rec.written[conn], int(payload[0]))
 }
 func (rec *record) Close(conn *Conn) { rec.closing = append(rec.closing, conn) }
-func (rec *record) End(attempt core.Attempt, status policy.Status) {
-	if _, twice := rec.ended[attempt.N]; twice {
+func (rec *record) End(attempt core.AttemptID, status policy.Status) {
+	if _, twice := rec.ended[attempt.Index]; twice {
 		panic("an attempt ended twice")
 	}
-	rec.ended[attempt.N] = status
+	rec.ended[attempt.Index] = status
 }
 
 // startWrite is StartWrite without the remaining time.
@@ -51,7 +51,7 @@
 	return ok
 }
 
-func attempt(n int) core.Attempt { return core.Attempt{N: n} }
+func attempt(n int) core.AttemptID { return core.AttemptID{Index: n} }
 
 // Attempts that wait for two connections at once are all written when both have opened.
 func TestAllWaitingAttemptsAreWritten(t *testing.T) {
@@ -65,7 +65,7 @@
 		t.Fatalf("%d dials, written %v and %v", rec.dials, rec.written[first], rec.written[second])
 	}
 	pool.Send(0, attempt(4), []byte{4}, deadline(0, 10))
-	if rec.ended[4] != policy.Full {
+	if rec.ended[4] != policy.Rejected {
 		t.Fatalf("beyond the limits: %v", rec.ended)
 	}
 }
@@ -134,8 +134,8 @@
 				default:
 					first := rec.written[conn][0]
 					rec.written[conn] = rec.written[conn][1:]
-					if a.N != first || (kind == LateReply) != cancelled[first] {
-						t.Fatalf("the reply to %d was matched to %d as %v", first, a.N, kind)
+					if a.Index != first || (kind == LateReply) != cancelled[first] {
+						t.Fatalf("the reply to %d was matched to %d as %v", first, a.Index, kind)
 					}
 					answered[first] = true
 				}
@@ -226,9 +226,9 @@
 		t.Fatalf("ended %v", rec.ended)
 	}
 	for _, want := range []struct {
-		attempt core.Attempt
+		attempt core.AttemptID
 		kind    ReplyKind
-	}{{core.Attempt{}, GreetingReply}, {attempt(3), AttemptReply}, {attempt(4), AttemptReply}, {core.Attempt{}, UnexpectedReply}} {
+	}{{core.AttemptID{}, GreetingReply}, {attempt(3), AttemptReply}, {attempt(4), AttemptReply}, {core.AttemptID{}, UnexpectedReply}} {
 		if a, kind := pool.MatchReply(0, conn); a != want.attempt || kind != want.kind {
 			t.Fatalf("%v %v, want %v", a, kind, want)
 		}
@@ -304,13 +304,13 @@
 	conn := pool.Opened(0, nil, 0)
 	pool.Send(0, attempt(1), []byte{1}, deadline(0, 10)) // waits for the second connection
 	pool.Drain()
-	if rec.ended[1] != policy.Moot {
+	if rec.ended[1] != policy.NotSent {
 		t.Fatalf("attempt waiting for a connection: %v", rec.ended)
 	}
-	if startWrite(pool, 0, conn, 0) || rec.ended[0] != policy.Moot {
+	if startWrite(pool, 0, conn, 0) || rec.ended[0] != policy.NotSent {
 		t.Fatalf("attempt queued on a connection: %v", rec.ended)
 	}
-	if pool.Send(0, attempt(2), []byte{2}, deadline(0, 10)); rec.ended[2] != policy.Moot {
+	if pool.Send(0, attempt(2), []byte{2}, deadline(0, 10)); rec.ended[2] != policy.NotSent {
 		t.Fatalf("attempt sent later: %v", rec.ended)
 	}
 	pool.Opened(0, nil, 0)
@@ -414,15 +414,15 @@
 func TestTooLateToStart(t *testing.T) {
 	rec := newRecord()
 	pool := New(Limits{Connections: 1, Pipeline: 1}, rec)
-	pool.Send(0, attempt(0), []byte{0}, policy.Timing{StartS: 0.2, AnswerS: 10})
+	pool.Send(0, attempt(0), []byte{0}, policy.Timing{StartWithinS: 0.2, AnswerWithinS: 10})
 	conn := pool.Opened(0.3, rec, 0)
 	if _, ok := pool.StartWrite(0.3, conn, attempt(0)); ok {
 		t.Error("started after its time")
 	}
-	if rec.ended[0] != policy.Moot {
+	if rec.ended[0] != policy.NotSent {
 		t.Errorf("ended as %v, want not sent", rec.ended[0])
 	}
-	pool.Send(1, attempt(1), []byte{1}, policy.Timing{StartS: 0.2, AnswerS: 10})
+	pool.Send(1, attempt(1), []byte{1}, policy.Timing{StartWithinS: 0.2, AnswerWithinS: 10})
 	if remaining, ok := pool.StartWrite(1.1, conn, attempt(1)); !ok || remaining < 9.8 || remaining > 9.91 {
 		t.Errorf("%v s remain for its reply, may start %v", remaining, ok)
 	}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -23,7 +23,7 @@
 	list []string
 }
 
-func (h *heard) Heard(from int, data []byte) {
+func (h *heard) QueueMessage(from int, data []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.list = append(h.list, string(rune('0'+from))+string(data))
@@ -48,13 +48,13 @@
 	}
 	defer tap.Close()
 	key := bytes.Repeat([]byte{7}, 32)
-	open := func(me int, addrs ...string) (*Link, *heard) {
-		c := &config.Config{Me: me, PeerKey: key}
+	open := func(me int, addrs ...string) (*Transport, *heard) {
+		c := &config.Config{Self: me, PeerKey: key}
 		for i, a := range addrs {
-			c.Instances = append(c.Instances, config.Instance{Number: i, Peer: a})
+			c.Instances = append(c.Instances, config.Instance{Number: i, PeerAddress: a})
 		}
 		h := &heard{}
-		l, err := Open(c, h, zerolog.Nop())
+		l, err := OpenSealed(c, h, zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -68,9 +68,9 @@
 	a, _ := open(0, "127.0.0.1:0", tap.LocalAddr().String())
 	b, got := open(1, "127.0.0.1:1", "127.0.0.1:0")
 	to := b.conn.LocalAddr().(*net.UDPAddr)
-	a.Tell(1, []byte("hello"))
-	a.Tell(7, []byte("nobody"))
-	a.Tell(1, make([]byte, MaxMessage+1))
+	a.SendToPeer(1, []byte("hello"))
+	a.SendToPeer(7, []byte("nobody"))
+	a.SendToPeer(1, make([]byte, MaxMessage+1))
 	buf := make([]byte, maxPacket)
 	_ = tap.SetReadDeadline(time.Now().Add(20 * time.Second))
 	n, _, err := tap.ReadFromUDP(buf)
@@ -82,7 +82,7 @@
 			t.Fatal(err)
 		}
 	}
-	wait(t, func() bool { c := b.Counts(); return c.Heard+c.Replayed+c.Foreign == 4 })
+	wait(t, func() bool { c := b.Counts(); return c.Received+c.Replayed+c.Foreign == 4 })
 	if c := b.Counts(); got.count() != 1 || got.list[0] != "0hello" || c.Replayed != 1 || c.Foreign != 2 {
 		t.Errorf("heard %v, %+v", got.list, c)
 	}
@@ -124,8 +124,8 @@
 			t.Fatal(err)
 		}
 	}
-	l.Tell(1, []byte("echo")) // to itself
-	wait(t, func() bool { c := l.Counts(); return c.Heard == 3 && c.Foreign == 2 && c.WrongWay == 1 })
+	l.SendToPeer(1, []byte("echo")) // to itself
+	wait(t, func() bool { c := l.Counts(); return c.Received == 3 && c.Foreign == 2 && c.Misdirected == 1 })
 	h.mu.Lock()
 	if len(h.list) != 3 || h.list[0] != "0"+string(bytes.Repeat([]byte{'m'}, MaxPlain)) || h.list[1] != "2" || h.list[2] != "2m" {
 		t.Errorf("heard %d messages: %.20q", len(h.list), h.list)
@@ -139,11 +139,11 @@
 			t.Errorf("got %q from %v, %v, want %q", buf[:n], from, err, want)
 		}
 	}
-	l.Tell(2, []byte("two"))
+	l.SendToPeer(2, []byte("two"))
 	expect(third, "two")
-	l.Tell(policy.Broadcast, []byte("all"))
+	l.SendToPeer(policy.Broadcast, []byte("all"))
 	expect(all, "all")
-	l.Tell(0, bytes.Repeat([]byte{'m'}, MaxPlain+1))
+	l.SendToPeer(0, bytes.Repeat([]byte{'m'}, MaxPlain+1))
 	wait(t, func() bool { return l.Counts().Unsent == 1 })
 	for _, bad := range [][2]string{{"x", ""}, {me, "x"}} {
 		if _, err := OpenPlain(bad[0], peers, bad[1], 1, h, zerolog.Nop()); err == nil {
--- a/internal/rpc/auth.go
+++ b/internal/rpc/auth.go
@@ -28,7 +28,7 @@
 // findClient looks up the client by certificate or, without one, by Basic credentials.
 func (srv *Server) findClient(ctx context.Context) (*access.Client, bool) {
 	if name, ok := certificateName(ctx); ok {
-		return srv.options.Book.Known(name)
+		return srv.options.Book.Lookup(name)
 	}
 	name, secret, ok := basicCredentials(ctx)
 	if !ok {
@@ -75,7 +75,7 @@
 	secretHash := config.HashSecret(secret)
 	for i := range srv.options.Domains {
 		domain := &srv.options.Domains[i]
-		if domain.Name == name && ok && user == name && subtle.ConstantTimeCompare(secretHash[:], domain.Secret[:]) == 1 {
+		if domain.Name == name && ok && user == name && subtle.ConstantTimeCompare(secretHash[:], domain.SecretHash[:]) == 1 {
 			return domain, true
 		}
 	}
--- a/internal/rpc/limits.go
+++ b/internal/rpc/limits.go
@@ -85,11 +85,11 @@
 		if !ok {
 			continue
 		}
-		maxHits := uint64(srv.options.Book.MostUnits() / rule.Units)
+		maxHits := uint64(srv.options.Book.MaxUnits() / rule.Units)
 		if hits > maxHits {
 			return nil, fmt.Errorf("hits_addend %d, want %d at most for this descriptor", hits, maxHits)
 		}
-		call := srv.options.Book.Limit(client, rule.Class, float64(hits)*float64(rule.Units))
+		call := srv.options.Book.LimitCall(client, rule.Class, float64(hits)*float64(rule.Units))
 		return &call, nil
 	}
 	return nil, nil
@@ -102,11 +102,11 @@
 			return nil, false
 		}
 	}
-	name, ok := values[rule.Customer]
+	name, ok := values[rule.CustomerKey]
 	if !ok {
 		return nil, false
 	}
-	return srv.options.Book.Known(name)
+	return srv.options.Book.Lookup(name)
 }
 
 // returnUnits returns the units of all admitted calls to their quotas.
@@ -118,14 +118,14 @@
 		}
 	}
 	if len(admitted) > 0 {
-		srv.core.Return(admitted)
+		srv.core.ReturnUnits(admitted)
 	}
 }
 
 // cancelCalls cancels calls whose caller has disconnected. It returns the units of those that were admitted
 // meanwhile; the core ends those still waiting.
 func (srv *Server) cancelCalls(calls []*core.Call, answered <-chan *core.Call) {
-	srv.core.Gone(calls)
+	srv.core.Disconnected(calls)
 	var received []*core.Call
 	for {
 		select {
@@ -145,12 +145,12 @@
 	for _, call := range calls {
 		descriptorStatus := &rlsv3.RateLimitResponse_DescriptorStatus{Code: rlsv3.RateLimitResponse_OK}
 		switch {
-		case call == nil && !domain.Allow:
+		case call == nil && !domain.AllowUnmatched:
 			descriptorStatus.Code = rlsv3.RateLimitResponse_OVER_LIMIT
 		case call == nil:
-		case call.Answer.Kind == core.Failed || call.Answer.Kind == core.Refused && call.Answer.Reason != core.NoRoom:
+		case call.Answer.Kind == core.Failed || call.Answer.Kind == core.Refused && call.Answer.Reason != core.NoCapacity:
 			srv.returnUnits(submitted)
-			return nil, status.Error(codes.Unavailable, call.Answer.Why) // no decision on the quota: the caller's failure mode applies
+			return nil, status.Error(codes.Unavailable, call.Answer.Detail) // no decision on the quota: the caller's failure mode applies
 		default:
 			answer := &call.Answer
 			if answer.Kind == core.Refused && call.Units > 0 {
@@ -159,9 +159,9 @@
 			if quota := answer.Quota; !math.IsInf(quota.Burst, 1) {
 				rate := quota.Rate
 				descriptorStatus.CurrentLimit = &rlsv3.RateLimitResponse_RateLimit{RequestsPerUnit: uint32(max(1, math.Round(rate))), Unit: rlsv3.RateLimitResponse_RateLimit_SECOND}
-				descriptorStatus.LimitRemaining = uint32(max(quota.Room, 0))
+				descriptorStatus.LimitRemaining = uint32(max(quota.Remaining, 0))
 				descriptorStatus.DurationUntilReset = durationFromSeconds(quota.ResetS)
-				if tightest == nil || quota.Room < tightest.Quota.Room {
+				if tightest == nil || quota.Remaining < tightest.Quota.Remaining {
 					tightest = answer
 				}
 			}
@@ -178,7 +178,7 @@
 		quota := tightest.Quota
 		response.ResponseHeadersToAdd = rateLimitHeaders(quota)
 		if response.OverallCode == rlsv3.RateLimitResponse_OVER_LIMIT {
-			response.ResponseHeadersToAdd = append(response.ResponseHeadersToAdd, headerValue("retry-after", math.Max(1, math.Ceil(quota.RetryS))))
+			response.ResponseHeadersToAdd = append(response.ResponseHeadersToAdd, headerValue("retry-after", math.Max(1, math.Ceil(quota.RetryAfterS))))
 		}
 	}
 	return response, nil
@@ -186,7 +186,7 @@
 
 // rateLimitHeaders returns the headers of the IETF draft on rate limit header fields for the quota.
 func rateLimitHeaders(quota core.Quota) []*corev3.HeaderValue {
-	return []*corev3.HeaderValue{headerValue("ratelimit-limit", math.Floor(quota.Burst)), headerValue("ratelimit-remaining", math.Floor(max(quota.Room, 0))),
+	return []*corev3.HeaderValue{headerValue("ratelimit-limit", math.Floor(quota.Burst)), headerValue("ratelimit-remaining", math.Floor(max(quota.Remaining, 0))),
 		headerValue("ratelimit-reset", math.Ceil(max(quota.ResetS, 0)))}
 }
 
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -62,14 +62,14 @@
 			fake.heldCalls <- call
 			continue
 		case strings.Contains(text, "refuse"):
-			answer = core.Answer{Kind: core.Refused, RetryS: 0.25, Why: "over quota"}
+			answer = core.Answer{Kind: core.Refused, RetryAfterS: 0.25, Detail: "over quota"}
 		case strings.Contains(text, "fail"):
-			answer = core.Answer{Kind: core.Failed, Why: "may have run"}
-		case call.Limit && call.Units <= fake.remaining:
+			answer = core.Answer{Kind: core.Failed, Detail: "may have run"}
+		case call.QuotaOnly && call.Units <= fake.remaining:
 			fake.remaining -= call.Units
-			answer = core.Answer{Kind: core.Admitted, Quota: core.Quota{Rate: 10, Burst: 20, Room: fake.remaining, ResetS: (20 - fake.remaining) / 10}}
-		case call.Limit:
-			answer = core.Answer{Kind: core.Refused, Quota: core.Quota{Rate: 10, Burst: 20, Room: fake.remaining, RetryS: 0.3, ResetS: 2}}
+			answer = core.Answer{Kind: core.Admitted, Quota: core.Quota{Rate: 10, Burst: 20, Remaining: fake.remaining, ResetS: (20 - fake.remaining) / 10}}
+		case call.QuotaOnly:
+			answer = core.Answer{Kind: core.Refused, Quota: core.Quota{Rate: 10, Burst: 20, Remaining: fake.remaining, RetryAfterS: 0.3, ResetS: 2}}
 		}
 		answerCall(call, answer)
 	}
@@ -82,13 +82,13 @@
 	call.Front.Answered([]*core.Call{call})
 }
 
-func (fake *fakeCore) Gone(calls []*core.Call) {
+func (fake *fakeCore) Disconnected(calls []*core.Call) {
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
 	fake.cancelled += len(calls)
 }
 
-func (fake *fakeCore) Return(calls []*core.Call) {
+func (fake *fakeCore) ReturnUnits(calls []*core.Call) {
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
 	for _, call := range calls {
@@ -240,8 +240,8 @@
 	if _, err := client.Do(soon, doRequest("JOB.STATUS", "hold")); status.Code(err) != codes.DeadlineExceeded {
 		t.Fatal(err)
 	}
-	if heldCall := <-fake.heldCalls; heldCall.WithinS <= 0 || heldCall.WithinS > 0.3 {
-		t.Fatalf("the deadline came as %g s", heldCall.WithinS)
+	if heldCall := <-fake.heldCalls; heldCall.TimeoutS <= 0 || heldCall.TimeoutS > 0.3 {
+		t.Fatalf("the deadline came as %g s", heldCall.TimeoutS)
 	}
 	waitUntil(t, func() bool { return fake.cancelledCount() == 1 })
 	ctx, stop := context.WithCancel(acmeContext())
@@ -349,8 +349,8 @@
 	}
 	send(1, doRequest("JOB.STATUS", "hold"))
 	held := <-fake.heldCalls
-	if held.WithinS != 0.5 {
-		t.Errorf("within %g s", held.WithinS)
+	if held.TimeoutS != 0.5 {
+		t.Errorf("within %g s", held.TimeoutS)
 	}
 	send(2, doRequest("SIGN.SUBMIT", "k2", "x"))
 	if r := recv(); r.GetId() != 2 || string(r.GetResponse().GetReply()) != "+did k2\r\n" {
@@ -497,7 +497,7 @@
 
 // A connection beyond the limit is closed, open ones continue, and a closed one makes room for another.
 func TestConnectionsAreBounded(t *testing.T) {
-	srv, _ := startServer(t, func(settings *config.GRPC) { settings.Connections = 1 })
+	srv, _ := startServer(t, func(settings *config.GRPC) { settings.MaxConnections = 1 })
 	first, second := dial(t, srv, nil), dial(t, srv, nil)
 	ask := func(conn *grpc.ClientConn) error {
 		_, err := pb.NewGatewayClient(conn).Do(acmeContext(), doRequest("JOB.STATUS", "1"))
@@ -567,7 +567,9 @@
 	authority := &certificateAuthority{t: t, dir: t.TempDir()}
 	ca, _ := authority.issue("authority", false)
 	cert, key := authority.issue("server", true)
-	srv, _ := startServer(t, func(settings *config.GRPC) { settings.Certificate, settings.Key, settings.CAs = cert, key, ca })
+	srv, _ := startServer(t, func(settings *config.GRPC) {
+		settings.CertificateFile, settings.KeyFile, settings.ClientCAFile = cert, key, ca
+	})
 	pool := x509.NewCertPool()
 	pool.AddCert(authority.cert)
 	ask := func(ctx context.Context, change func(*tls.Config)) error {
@@ -610,7 +612,7 @@
 	if err := ask(context.Background(), forge); err == nil {
 		t.Error("a certificate of another authority was accepted")
 	}
-	if _, err := Start(nil, Options{GRPC: config.GRPC{Certificate: "none", Key: "none"}}); err == nil {
+	if _, err := Start(nil, Options{GRPC: config.GRPC{CertificateFile: "none", KeyFile: "none"}}); err == nil {
 		t.Error("files that are not there")
 	}
 }
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -39,14 +39,14 @@
 // Core is the part of the core that this front end uses.
 type Core interface {
 	Submit(calls []*core.Call) int
-	Gone(calls []*core.Call)
-	Return(calls []*core.Call)
+	Disconnected(calls []*core.Call)
+	ReturnUnits(calls []*core.Call)
 }
 
 // Options are the settings of a Server.
 type Options struct {
 	config.GRPC
-	Book *access.Book
+	Book *access.Registry
 	Log  zerolog.Logger
 }
 
@@ -80,12 +80,12 @@
 func Start(gatewayCore Core, options Options) (*Server, error) {
 	srv := &Server{options: options, core: gatewayCore, draining: make(chan struct{}), health: health.NewServer()}
 	serverOptions := []grpc.ServerOption{
-		grpc.MaxConcurrentStreams(uint32(options.Streams)), grpc.MaxRecvMsgSize(options.Message),
+		grpc.MaxConcurrentStreams(uint32(options.MaxStreams)), grpc.MaxRecvMsgSize(options.MaxMessageBytes),
 		grpc.MaxHeaderListSize(16 << 10), grpc.ConnectionTimeout(10 * time.Second),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 30 * time.Second, Timeout: 10 * time.Second}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true}),
 	}
-	if options.Certificate != "" {
+	if options.CertificateFile != "" {
 		creds, err := transportCredentials(options.GRPC)
 		if err != nil {
 			return nil, err
@@ -109,7 +109,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen on %s: %w", options.Listen, err)
 	}
-	srv.listener = &limitedListener{Listener: listener, maxOpen: int64(options.Connections), rejected: &srv.rejectedConnections, log: options.Log}
+	srv.listener = &limitedListener{Listener: listener, maxOpen: int64(options.MaxConnections), rejected: &srv.rejectedConnections, log: options.Log}
 	srv.serving.Add(1)
 	go func() {
 		defer srv.serving.Done()
@@ -168,19 +168,19 @@
 // transportCredentials loads the TLS files. It requires TLS 1.3 and, if an authority is configured, verifies the
 // certificates of clients.
 func transportCredentials(settings config.GRPC) (credentials.TransportCredentials, error) {
-	pair, err := tls.LoadX509KeyPair(settings.Certificate, settings.Key)
+	pair, err := tls.LoadX509KeyPair(settings.CertificateFile, settings.KeyFile)
 	if err != nil {
 		return nil, fmt.Errorf("TLS certificate: %w", err)
 	}
 	tlsConfig := &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS13}
-	if settings.CAs != "" {
-		raw, err := os.ReadFile(settings.CAs)
+	if settings.ClientCAFile != "" {
+		raw, err := os.ReadFile(settings.ClientCAFile)
 		if err != nil {
 			return nil, fmt.Errorf("authority of clients: %w", err)
 		}
 		tlsConfig.ClientCAs = x509.NewCertPool()
 		if !tlsConfig.ClientCAs.AppendCertsFromPEM(raw) {
-			return nil, fmt.Errorf("authority of clients: %s holds no certificate in PEM", settings.CAs)
+			return nil, fmt.Errorf("authority of clients: %s holds no certificate in PEM", settings.ClientCAFile)
 		}
 		// Callers without a certificate may send credentials in metadata, as rate limit callers do.
 		tlsConfig.ClientAuth = tls.VerifyClientCertIfGiven
@@ -239,16 +239,16 @@
 func statusError(answer *core.Answer) error {
 	switch answer.Kind {
 	case core.Refused:
-		refused := status.New(codes.ResourceExhausted, answer.Why)
-		if answer.RetryS > 0 {
-			detailed, err := refused.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(time.Duration(answer.RetryS * 1e9))})
+		refused := status.New(codes.ResourceExhausted, answer.Detail)
+		if answer.RetryAfterS > 0 {
+			detailed, err := refused.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(time.Duration(answer.RetryAfterS * 1e9))})
 			if err == nil { // it fails only for messages of an unregistered type
 				refused = detailed
 			}
 		}
 		return refused.Err()
 	case core.Failed:
-		return status.Error(codes.Unknown, answer.Why)
+		return status.Error(codes.Unknown, answer.Detail)
 	}
 	return nil
 }
@@ -260,7 +260,7 @@
 		return status.FromContextError(err).Err()
 	}
 	if deadline, ok := ctx.Deadline(); ok {
-		if call.WithinS = time.Until(deadline).Seconds(); call.WithinS <= 0 {
+		if call.TimeoutS = time.Until(deadline).Seconds(); call.TimeoutS <= 0 {
 			return status.Error(codes.DeadlineExceeded, "the deadline had passed on arrival; nothing was done")
 		}
 	}
@@ -273,7 +273,7 @@
 	case <-done:
 		return statusError(&call.Answer)
 	case <-ctx.Done():
-		srv.core.Gone([]*core.Call{call})
+		srv.core.Disconnected([]*core.Call{call})
 		return status.FromContextError(ctx.Err()).Err()
 	}
 }
@@ -302,7 +302,7 @@
 		return core.Call{}, errors.New("no words, want a command of the settings with its further words")
 	}
 	words = append([][]byte{bytes.ToUpper(words[0])}, words[1:]...)
-	call, known, err := srv.options.Book.Work(client, words)
+	call, known, err := srv.options.Book.ParseCommand(client, words)
 	if err == nil && !known {
 		err = fmt.Errorf("unknown command %q", words[0][:min(len(words[0]), 64)])
 	}
--- a/internal/rpc/stream.go
+++ b/internal/rpc/stream.go
@@ -24,8 +24,8 @@
 	if !ok {
 		return errUnauthenticated
 	}
-	session := &streamSession{server: srv, stream: stream, answered: make(chan *core.Call, srv.options.Ahead), rejected: make(chan *pb.StreamResponse, srv.options.Ahead),
-		slots: make(chan struct{}, srv.options.Ahead), readResult: make(chan error, 1), inFlight: map[*core.Call]uint64{}, submitted: make(chan submission, srv.options.Ahead)}
+	session := &streamSession{server: srv, stream: stream, answered: make(chan *core.Call, srv.options.MaxStreamRequests), rejected: make(chan *pb.StreamResponse, srv.options.MaxStreamRequests),
+		slots: make(chan struct{}, srv.options.MaxStreamRequests), readResult: make(chan error, 1), inFlight: map[*core.Call]uint64{}, submitted: make(chan submission, srv.options.MaxStreamRequests)}
 	go func() { // ends with the stream, since Recv fails once the handler has returned
 		session.readResult <- session.receive(func(request *pb.DoRequest) (core.Call, error) { return srv.workCall(client, request) })
 	}()
@@ -75,11 +75,11 @@
 			session.rejected <- &pb.StreamResponse{Id: request.GetId(), Result: &pb.StreamResponse_Invalid{Invalid: err.Error()}}
 			continue
 		}
-		call.WithinS = float64(request.GetWithinMs()) / 1000
+		call.TimeoutS = float64(request.GetWithinMs()) / 1000
 		call.Front, call.Tag = answerReceiver{}, session.answered
 		session.submitted <- submission{&call, request.GetId()}
 		if session.server.core.Submit([]*core.Call{&call}) == 0 {
-			call.Answer = core.Answer{Kind: core.Refused, Reason: core.Overfull, Why: "too many requests wait"}
+			call.Answer = core.Answer{Kind: core.Refused, Reason: core.Overloaded, Detail: "too many requests wait"}
 			session.answered <- &call
 		}
 	}
@@ -99,7 +99,7 @@
 			abandoned = append(abandoned, call)
 		}
 		if len(abandoned) > 0 {
-			session.server.core.Gone(abandoned)
+			session.server.core.Disconnected(abandoned)
 		}
 	}()
 	inputEnded, draining, drained := false, session.server.draining, false
@@ -153,9 +153,9 @@
 	response := &pb.StreamResponse{Id: id}
 	switch answer.Kind {
 	case core.Refused:
-		response.Result = &pb.StreamResponse_Refused{Refused: &pb.Refusal{Why: answer.Why, RetryMs: uint32(time.Duration(math.Ceil(answer.RetryS * 1000)))}}
+		response.Result = &pb.StreamResponse_Refused{Refused: &pb.Refusal{Why: answer.Detail, RetryMs: uint32(time.Duration(math.Ceil(answer.RetryAfterS * 1000)))}}
 	case core.Failed:
-		response.Result = &pb.StreamResponse_Failed{Failed: &pb.Failure{Why: answer.Why}}
+		response.Result = &pb.StreamResponse_Failed{Failed: &pb.Failure{Why: answer.Detail}}
 	default:
 		response.Result = &pb.StreamResponse_Response{Response: &pb.DoResponse{Reply: answer.Payload}}
 	}
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -77,11 +77,11 @@
 
 var effects = map[string]policy.Effect{"retryable": policy.Safe, "dedup": policy.Keyed, "fragile": policy.Unsafe}
 
-var scopes = map[string]policy.Scope{"": policy.ScopeAll, "all": policy.ScopeAll, "zone": policy.ScopeZone,
+var scopes = map[string]policy.KeyScope{"": policy.ScopeAll, "all": policy.ScopeAll, "zone": policy.ScopeZone,
 	"cell": policy.ScopeCell}
 
-// Terms are the settings of an instance: those of the module, and what the network's side needs besides.
-type Terms struct {
+// Settings are the settings of an instance: those of the module, and what the network's side needs besides.
+type Settings struct {
 	policy.Settings
 	ConnIdleS    float64 // a server closes a connection that stood idle for so long, seconds; 0: never
 	DialTimeoutS float64 // until a connection stands, seconds
@@ -89,25 +89,25 @@
 	MostHeld     int     // requests that an instance may have open, 0: not bounded
 }
 
-// Read translates the settings. It tells which part has the wrong form; whether the module's part makes sense is for
+// Parse translates the settings. It tells which part has the wrong form; whether the module's part makes sense is for
 // policy.New to say.
-func Read(text []byte) (Terms, error) {
+func Parse(text []byte) (Settings, error) {
 	var w object
 	if err := json.Unmarshal(text, &w); err != nil {
-		return Terms{}, err
+		return Settings{}, err
 	}
-	t := Terms{ConnIdleS: w.Limits.ConnIdleS, DialTimeoutS: w.Limits.DialTimeoutS, Multiplex: w.Limits.Multiplex,
+	t := Settings{ConnIdleS: w.Limits.ConnIdleS, DialTimeoutS: w.Limits.DialTimeoutS, Multiplex: w.Limits.Multiplex,
 		MostHeld: w.Limits.MostHeld}
 	t.Settings = policy.Settings{
-		Me: w.Me, Gateways: w.Balancers, Zone: w.MyZone,
-		MaxUnits: w.FamilyInfo.MaxUnits, TrueUp: w.FamilyInfo.TruedUp, PeerIntake: w.FamilyInfo.PeerIntake,
-		Peers: w.Limits.PeerMessages, Probes: w.Limits.Probes, Cancel: w.Limits.Cancel,
-		Parallel: w.Limits.ParallelTries, RetryAfter: w.Limits.RetryAfter,
+		Self: w.Me, Gateways: w.Balancers, Zone: w.MyZone,
+		MaxUnits: w.FamilyInfo.MaxUnits, UnitsFromAnswer: w.FamilyInfo.TruedUp, PeerMessagesPerS: w.FamilyInfo.PeerIntake,
+		PeerMessages: w.Limits.PeerMessages, Probes: w.Limits.Probes, Cancel: w.Limits.Cancel,
+		ParallelAttempts: w.Limits.ParallelTries, RetryAfter: w.Limits.RetryAfter,
 		MaxAttempts: w.Limits.MaxAttempts, MaxRetryAfterS: w.Limits.MaxRetryAfterS,
-		ReportByProbe: w.Feedback.How == "probe", ReportByAnswer: w.Feedback.How == "answers",
-		AnswerSlackS: w.Rules.AnswerSlackS, ColdFrom: w.Rules.ColdFrom, ColdS: w.Rules.ColdS,
-		FallMultiple: w.Rules.FallMultiple, FallS: w.Rules.FallS,
-		TickS: w.TickS, CrossZonePrice: w.Prices.CrossZone, WorstPlanWeight: w.ScoreParts.WorstTenant,
+		LoadFromProbes: w.Feedback.How == "probe", LoadFromAnswers: w.Feedback.How == "answers",
+		AnswerSlackS: w.Rules.AnswerSlackS, ColdStartShare: w.Rules.ColdFrom, ColdPeriodS: w.Rules.ColdS,
+		OverloadMultiple: w.Rules.FallMultiple, OverloadWindowS: w.Rules.FallS,
+		TickS: w.TickS, CrossZoneCost: w.Prices.CrossZone, WorstPlanWeight: w.ScoreParts.WorstTenant,
 	}
 	for _, p := range w.Profiles {
 		effect, ok := effects[p.Effect]
@@ -118,13 +118,13 @@
 		if !ok {
 			return t, fmt.Errorf("class %s: unknown keyScope %q", p.Name, p.KeyScope)
 		}
-		t.Classes = append(t.Classes, policy.Class{Name: p.Name, AimS: p.AimS, AimStretch: p.AimStretch,
-			DeadlineS: p.DeadlineS, Worth: p.Worth, LateWorth: p.LateWorth, Effect: effect, KeyScope: scope,
+		t.Classes = append(t.Classes, policy.Class{Name: p.Name, TargetLatencyS: p.AimS, TargetLatencyStretch: p.AimStretch,
+			DeadlineS: p.DeadlineS, Value: p.Worth, LateValueShare: p.LateWorth, Effect: effect, KeyScope: scope,
 			KeyTTLS: p.KeyTTLS, Stream: p.Stream})
 	}
 	for _, p := range w.Packages {
 		t.Plans = append(t.Plans, policy.Plan{Name: p.Name, Rate: p.UnitsPerS, Burst: p.PeakUnits,
-			Parallel: p.Parallel, Price: p.Pays, ExtraWorth: p.ExtraWorth, ExcessCost: p.ExcessCost,
+			MaxParallel: p.Parallel, ValueFactor: p.Pays, ExtraValueShare: p.ExtraWorth, ExcessCostShare: p.ExcessCost,
 			CeilingRate: p.HardRate, CeilingBurst: p.CapDepth, CeilingSlack: p.CeilingSlack})
 	}
 	return t, nil
--- a/policy/api.go
+++ b/policy/api.go
@@ -15,97 +15,97 @@
 	Unsafe               // must not run twice
 )
 
-// Scope is the group of servers that drops the repeats of a keyed request.
-type Scope int
+// KeyScope is the group of servers that drops the repeats of a keyed request.
+type KeyScope int
 
 // The scopes of a key.
 const (
-	ScopeAll Scope = iota
+	ScopeAll KeyScope = iota
 	ScopeZone
 	ScopeCell
 )
 
 // Class describes one class of request. Times are in seconds.
 type Class struct {
-	Name       string
-	AimS       float64 // an answer within this time earns its full worth
-	AimStretch float64 // the aim grows by this multiple of the request's own work
-	DeadlineS  float64
-	Worth      float64
-	LateWorth  float64 // share of the worth after the aim
-	Effect     Effect
-	KeyScope   Scope
-	KeyTTLS    float64
-	Stream     bool
+	Name                 string
+	TargetLatencyS       float64 // an answer within this time earns its full worth
+	TargetLatencyStretch float64 // the aim grows by this multiple of the request's own work
+	DeadlineS            float64
+	Value                float64
+	LateValueShare       float64 // share of the worth after the aim
+	Effect               Effect
+	KeyScope             KeyScope
+	KeyTTLS              float64
+	Stream               bool
 }
 
 // Plan describes the quota that each customer of the plan holds over all gateways.
 type Plan struct {
-	Name         string
-	Rate         float64 // units a second; 0: no such quota
-	Burst        float64 // the most units the quota holds
-	Parallel     int     // attempts out at once; 0: no such quota
-	Price        float64 // factor on the worth
-	ExtraWorth   float64 // share of the worth earned beyond the quota
-	ExcessCost   float64 // share of the worth that sending on beyond the quota costs
-	CeilingRate  float64 // 0: no ceiling
-	CeilingBurst float64
-	CeilingSlack float64
+	Name            string
+	Rate            float64 // units a second; 0: no such quota
+	Burst           float64 // the most units the quota holds
+	MaxParallel     int     // attempts out at once; 0: no such quota
+	ValueFactor     float64 // factor on the worth
+	ExtraValueShare float64 // share of the worth earned beyond the quota
+	ExcessCostShare float64 // share of the worth that sending on beyond the quota costs
+	CeilingRate     float64 // 0: no ceiling
+	CeilingBurst    float64
+	CeilingSlack    float64
 }
 
 // Settings are fixed for the life of a Gateway. Times are in seconds.
 type Settings struct {
-	Me, Gateways int
-	Zone         string
-	Classes      []Class
-	Plans        []Plan
+	Self, Gateways int
+	Zone           string
+	Classes        []Class
+	Plans          []Plan
 
-	MaxUnits   int
-	TrueUp     bool    // units are a guess, the true ones come with the answer
-	PeerIntake float64 // messages a second that a gateway takes in
+	MaxUnits         int
+	UnitsFromAnswer  bool    // units are a guess, the true ones come with the answer
+	PeerMessagesPerS float64 // messages a second that a gateway takes in
 
-	Peers, Probes, Cancel, Parallel, RetryAfter bool
-	MaxAttempts                                 int
-	MaxRetryAfterS                              float64
-	ReportByProbe, ReportByAnswer               bool
+	PeerMessages, Probes, Cancel, ParallelAttempts, RetryAfter bool
+	MaxAttempts                                                int
+	MaxRetryAfterS                                             float64
+	LoadFromProbes, LoadFromAnswers                            bool
 
-	AnswerSlackS, ColdFrom, ColdS, FallMultiple, FallS float64
+	AnswerSlackS, ColdStartShare, ColdPeriodS, OverloadMultiple, OverloadWindowS float64
 
 	TickS           float64 // the least time between two batches of events
-	CrossZonePrice  float64
+	CrossZoneCost   float64
 	WorstPlanWeight float64 // weight of the worst-served plan in the goal
 }
 
-// State is what the list of servers says of a server.
-type State int
+// ServerState is what the list of servers says of a server.
+type ServerState int
 
 // The states of a server.
 const (
-	Up State = iota
+	Up ServerState = iota
 	Draining
 	Removed
 )
 
 // Server is an entry of the list of servers.
 type Server struct {
-	ID, Zone string
-	Cell     int
-	State    State
-	Weight   float64
-	SinceS   float64 // when its process started; 0: long ago
+	ID, Zone  string
+	Cell      int
+	State     ServerState
+	Weight    float64
+	StartedAt float64 // when its process started; 0: long ago
 }
 
 // Request is a client's request that this gateway now owes one final answer.
 type Request struct {
-	ID, Class, Plan, Customer string
-	DeadlineS                 float64 // clock time at which the client gives up
-	First, Entries            int     // the customer's gateways: Entries in a row from First
-	Units                     float64
-	Retry                     bool
-	Limit                     bool    // asks for the units alone: ends in Admit or Refuse, never in Send
-	Home                      string  // server to whose group a keyed request is kept, "": any
-	Ran                       string  // server where an earlier request of the same key may have run,
-	RanAt                     float64 // sent there at this time; "": none
+	ID, Class, Plan, Customer  string
+	DeadlineAt                 float64 // clock time at which the client gives up
+	FirstGateway, GatewayCount int     // the customer's gateways: Entries in a row from First
+	Units                      float64
+	ClientRetry                bool
+	QuotaOnly                  bool    // asks for the units alone: ends in Admit or Refuse, never in Send
+	HomeServer                 string  // server to whose group a keyed request is kept, "": any
+	EarlierServer              string  // server where an earlier request of the same key may have run,
+	EarlierSentAt              float64 // sent there at this time; "": none
 }
 
 // Status is the way an attempt or a probe ended.
@@ -115,12 +115,12 @@
 const (
 	OK            Status = iota
 	Error                // the server answered with an error; may have run
-	Full                 // turned away unseen; did not run
+	Rejected             // turned away unseen; did not run
 	Timeout              // no answer in time; may have run
 	ConnectFailed        // never reached the server; did not run
 	Reset                // the connection broke; may have run
 	Cancelled            // called off; may have run
-	Moot                 // not sent
+	NotSent              // not sent
 )
 
 var statusNames = [...]string{"ok", "error", "turned away", "timed out", "could not connect", "connection broke", "cancelled", "not sent"}
@@ -135,21 +135,21 @@
 
 // Outcome ends one attempt. Over tells that the request needs no answer any more.
 type Outcome struct {
-	ID, Server string
-	Attempt    int
-	Status     Status
-	Over       bool
-	SpentS     float64
-	Units      float64 // the true units, with TrueUp and OK
-	Load       *Load
+	ID, Server   string
+	Attempt      int
+	Status       Status
+	RequestEnded bool
+	ElapsedS     float64
+	Units        float64 // the true units, with TrueUp and OK
+	Load         *Load
 }
 
 // ProbeResult ends one probe.
 type ProbeResult struct {
-	Server string
-	Status Status
-	SpentS float64
-	Load   *Load
+	Server   string
+	Status   Status
+	ElapsedS float64
+	Load     *Load
 }
 
 // Broadcast as the addressee of Tell means every other gateway.
@@ -165,18 +165,18 @@
 	OutOfTime                   // too little time is left for one more attempt
 	AttemptsUsed                // no further attempt is allowed
 	NoServer                    // no server had room for it in time
-	Refusals                    // their number
+	RefusalCount                // their number
 )
 
-var refusalNames = [Refusals]string{"over quota", "no word from the owner", "too little time left", "no further attempt allowed", "no server with room"}
+var refusalNames = [RefusalCount]string{"over quota", "no word from the owner", "too little time left", "no further attempt allowed", "no server with room"}
 
 // String is the reason in words.
 func (r Refusal) String() string { return refusalNames[r] }
 
 // Timing bounds an attempt, in seconds from now.
 type Timing struct {
-	StartS  float64 // it is not begun later: for a connection it may have to wait
-	AnswerS float64 // nor is its answer awaited for longer
+	StartWithinS  float64 // it is not begun later: for a connection it may have to wait
+	AnswerWithinS float64 // nor is its answer awaited for longer
 }
 
 // Actions is what a Gateway asks of its ingress. Calls happen only while one of
@@ -189,6 +189,6 @@
 	Cancel(id string, attempt int)
 	SetTimer(token uint64, delayS float64)
 	Probe(server string)
-	Tell(gateway int, data []byte)
+	SendToPeer(gateway int, data []byte)
 	Log(text string)
 }
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -21,7 +21,7 @@
 	fleet, recs := make([]*Gateway, gateways), make([]*recorder, gateways)
 	boot := func(i int, now float64, list []Server) {
 		s := testSettings()
-		s.Me, s.Gateways, s.Peers = i, gateways, false
+		s.Self, s.Gateways, s.PeerMessages = i, gateways, false
 		recs[i] = &recorder{}
 		g, err := New(s, seed+uint64(i), now, recs[i])
 		if err != nil {
@@ -54,7 +54,7 @@
 			} else if now >= start {
 				warmN++
 			}
-			out = append(out, done{now + 0.05, i, Outcome{ID: a.id, Server: a.server, Status: OK, Over: true, SpentS: 0.05}})
+			out = append(out, done{now + 0.05, i, Outcome{ID: a.id, Server: a.server, Status: OK, RequestEnded: true, ElapsedS: 0.05}})
 		}
 		recs[i].acts = recs[i].acts[:0]
 	}
@@ -69,7 +69,7 @@
 		}
 		if !cold && now >= start {
 			cold = true
-			list[0].SinceS = start
+			list[0].StartedAt = start
 			for i := range fleet {
 				if restart != nil && restart(i) {
 					boot(i, now, list)
@@ -90,8 +90,8 @@
 			i++
 		}
 		n++
-		fleet[i].Request(now, Request{ID: fmt.Sprint(n), Class: "read", Plan: "wide", Customer: fmt.Sprint("c", n%997), DeadlineS: now + 2,
-			Entries: gateways, Units: 1})
+		fleet[i].Request(now, Request{ID: fmt.Sprint(n), Class: "read", Plan: "wide", Customer: fmt.Sprint("c", n%997), DeadlineAt: now + 2,
+			GatewayCount: gateways, Units: 1})
 		take(i, now)
 	}
 	return sent, float64(warmN) / (servers - 1) / (end - start)
@@ -102,7 +102,7 @@
 // of its capacity that the settings name; no warm server is known to be able to do more than it is sent.
 func TestColdServerKeepsToItsShareOfAFleet(t *testing.T) {
 	s := testSettings()
-	s.FallMultiple = 2
+	s.OverloadMultiple = 2
 	for _, c := range []struct {
 		name    string
 		weight  func(i int) float64
@@ -118,16 +118,16 @@
 				worst, at := 0.0, 0.0
 				for i, from := range sent {
 					k := i
-					for k < len(sent) && sent[k] < from+s.FallS {
+					for k < len(sent) && sent[k] < from+s.OverloadWindowS {
 						k++
 					}
-					share := s.ColdFrom + (1-s.ColdFrom)*(from-106)/s.ColdS // as it was when the window began: the least
-					n := s.FallMultiple * share * warm * s.FallS
+					share := s.ColdStartShare + (1-s.ColdStartShare)*(from-106)/s.ColdPeriodS // as it was when the window began: the least
+					n := s.OverloadMultiple * share * warm * s.OverloadWindowS
 					if x := float64(k-i) / (n + 2*math.Sqrt(n) + 2); x > worst {
 						worst, at = x, from-106
 					}
 				}
-				part := float64(len(sent)) / (warm * s.ColdS * (1 + s.ColdFrom) / 2)
+				part := float64(len(sent)) / (warm * s.ColdPeriodS * (1 + s.ColdStartShare) / 2)
 				if worst >= 0.75 {
 					t.Errorf("%s, %d gateways, seed %d: a cold server got %.2f of what it falls at, %.1f s after its start", c.name, gateways, seed, worst, at)
 				}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -26,15 +26,15 @@
 func (in *ingress) SetTimer(token uint64, delayS float64) {}
 func (in *ingress) Probe(server string)                   {}
 func (in *ingress) Log(text string)                       { fmt.Printf("%s: %s\n", in.name, text) }
-func (in *ingress) Tell(gateway int, data []byte) {
+func (in *ingress) SendToPeer(gateway int, data []byte) {
 	in.out = append(in.out, data)
 }
 
 func settings(me, gateways int) policy.Settings {
 	return policy.Settings{
-		Me: me, Gateways: gateways, Peers: gateways > 1, PeerIntake: 40, MaxAttempts: 3, MaxRetryAfterS: 1,
-		Classes: []policy.Class{{Name: "read", AimS: 1, DeadlineS: 2, Worth: 1, Effect: policy.Safe}},
-		Plans:   []policy.Plan{{Name: "basic", Rate: 1, Burst: 3, Price: 1, ExcessCost: 1}},
+		Self: me, Gateways: gateways, PeerMessages: gateways > 1, PeerMessagesPerS: 40, MaxAttempts: 3, MaxRetryAfterS: 1,
+		Classes: []policy.Class{{Name: "read", TargetLatencyS: 1, DeadlineS: 2, Value: 1, Effect: policy.Safe}},
+		Plans:   []policy.Plan{{Name: "basic", Rate: 1, Burst: 3, ValueFactor: 1, ExcessCostShare: 1}},
 	}
 }
 
@@ -49,9 +49,9 @@
 	g.Servers(10, []policy.Server{{ID: "10.0.0.1:80"}}, true)
 	for i := range 2 {
 		g.Request(10, policy.Request{ID: fmt.Sprint("r", i), Class: "read", Plan: "basic", Customer: "ada",
-			DeadlineS: 12, Entries: 1, Units: 2})
+			DeadlineAt: 12, GatewayCount: 1, Units: 2})
 	}
-	g.Outcome(10.1, policy.Outcome{ID: "r0", Server: "10.0.0.1:80", Status: policy.OK, Over: true, SpentS: 0.1})
+	g.Outcome(10.1, policy.Outcome{ID: "r0", Server: "10.0.0.1:80", Status: policy.OK, RequestEnded: true, ElapsedS: 0.1})
 	// Output:
 	// gateway: send r0 to 10.0.0.1:80
 	// gateway: refuse r1
@@ -68,7 +68,7 @@
 	}
 	ask := func(gateway int, id string) {
 		gates[gateway].Request(now, policy.Request{ID: id, Class: "read", Plan: "basic", Customer: "ada",
-			DeadlineS: now + 2, Entries: 2, Units: 2})
+			DeadlineAt: now + 2, GatewayCount: 2, Units: 2})
 	}
 	ask(0, "first")
 	for range 30 { // the ingress's timers: 0.6 s, some batches each way
@@ -76,7 +76,7 @@
 		for i, g := range gates {
 			g.Timer(now, 1)
 			for _, data := range ins[1-i].out {
-				g.Peer(now, 1-i, data)
+				g.PeerMessage(now, 1-i, data)
 			}
 			ins[1-i].out = nil
 		}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -86,7 +86,7 @@
 	if act == nil {
 		return nil, errors.New("no actions given")
 	}
-	if err := s.Check(); err != nil {
+	if err := s.Validate(); err != nil {
 		return nil, err
 	}
 	g := &Gateway{s: s, act: act, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), now: now, born: now,
@@ -99,14 +99,16 @@
 	}
 	g.tokens, g.tokensAt = 2, now
 	g.limit = startLimit / float64(s.Gateways) // for one server
-	g.s.PeerIntake = cmp.Or(max(s.PeerIntake, 0), anyIntake)
+	g.s.PeerMessagesPerS = cmp.Or(max(s.PeerMessagesPerS, 0), anyIntake)
 	g.setUp(min(ringPoints, max(8, ringMost/s.Gateways)))
 	g.act.SetTimer(1, tickS)
 	return g, nil
 }
 
 // newClass is a class as a gateway knows it at the start.
-func newClass(c Class, i int) *class { return &class{Class: c, index: i, lat: firstLat * c.AimS} }
+func newClass(c Class, i int) *class {
+	return &class{Class: c, index: i, lat: firstLat * c.TargetLatencyS}
+}
 
 // newServer is a server as a gateway knows it when it is first listed.
 func newServer(g *Gateway) *server {
@@ -117,7 +119,7 @@
 // newCustomer is a customer as a gateway knows it when it is first heard of: with a full window, but
 // an empty split of its ceiling, filling since this gateway's start.
 func (g *Gateway) newCustomer(key uint32, p *plan) *customer {
-	c := &customer{key: key, plan: p, prime: g.s.Me, room: p.Burst, roomAt: g.now, usedAt: g.now,
+	c := &customer{key: key, plan: p, prime: g.s.Self, room: p.Burst, roomAt: g.now, usedAt: g.now,
 		ceilAt: g.born, poolAt: g.born}
 	g.custs[key] = c
 	return c
@@ -135,23 +137,23 @@
 		g.act.Fail(q.ID)
 		return
 	}
-	r := &request{Request: q, cls: cls, plan: g.byPlan[q.Plan], home: g.servers[q.Home],
-		ran: g.servers[q.Ran], ranAt: q.RanAt}
-	r.aimAt = now + cls.AimS + cls.AimStretch*cls.lat
-	if cls.laterTry(q.DeadlineS - now) {
-		r.aimAt = min(r.aimAt, q.DeadlineS-cls.DeadlineS+cls.AimS+cls.AimStretch*cls.lat)
+	r := &request{Request: q, cls: cls, plan: g.byPlan[q.Plan], home: g.servers[q.HomeServer],
+		ran: g.servers[q.EarlierServer], ranAt: q.EarlierSentAt}
+	r.aimAt = now + cls.TargetLatencyS + cls.TargetLatencyStretch*cls.lat
+	if cls.laterTry(q.DeadlineAt - now) {
+		r.aimAt = min(r.aimAt, q.DeadlineAt-cls.DeadlineS+cls.TargetLatencyS+cls.TargetLatencyStretch*cls.lat)
 	}
-	r.aimAt = min(r.aimAt, q.DeadlineS)
+	r.aimAt = min(r.aimAt, q.DeadlineAt)
 	price := 1.0
 	if r.plan != nil {
-		price, r.cust = r.plan.Price, g.customer(q)
+		price, r.cust = r.plan.ValueFactor, g.customer(q)
 		g.asked(r.cust, q.Units)
 	}
 	if r.aimAt < now+cls.lat {
-		price *= cls.LateWorth
+		price *= cls.LateValueShare
 	}
-	r.prio = cls.Worth * price // units stand for work as well as for worth, and cancel out
-	r.cheap = 1 - cls.Worth/max(g.maxWorth, 1e-9)
+	r.prio = cls.Value * price // units stand for work as well as for worth, and cancel out
+	r.cheap = 1 - cls.Value/max(g.maxWorth, 1e-9)
 	g.probes = min(g.probes+probeShare, 2)
 	g.reqs[q.ID] = r
 	g.live = append(g.live, r)
@@ -183,7 +185,7 @@
 // place sends the request on, or queues it when no server has room. One that asks for units alone
 // ends here, and what it took stays taken.
 func (g *Gateway) place(r *request) {
-	if r.Limit {
+	if r.QuotaOnly {
 		r.taken = false
 		g.act.Admit(r.ID)
 		g.over(r)
@@ -205,7 +207,7 @@
 		g.warmRate += r.cls.lat / (demandTauS * float64(max(1, len(g.order))))
 	}
 	answer := max(r.endAt()-g.now, guardS)
-	g.act.Send(r.ID, s.ID, Timing{StartS: min(answer, g.repeatWindow(r)), AnswerS: answer})
+	g.act.Send(r.ID, s.ID, Timing{StartWithinS: min(answer, g.repeatWindow(r)), AnswerWithinS: answer})
 }
 
 // refuse ends the request with the mildest answer that is true.
@@ -237,13 +239,13 @@
 	}
 	g.report(a.srv, o.Load)
 	g.learn(r, a, o)
-	if never := o.Status == Full || o.Status == ConnectFailed || o.Status == Moot; !never && r.ran == nil {
+	if never := o.Status == Rejected || o.Status == ConnectFailed || o.Status == NotSent; !never && r.ran == nil {
 		r.ran, r.ranAt = a.srv, a.sentAt
 	}
-	if o.Status == OK && g.s.TrueUp && r.taken && o.Units > 0 {
+	if o.Status == OK && g.s.UnitsFromAnswer && r.taken && o.Units > 0 {
 		g.charge(r.cust, o.Units-r.Units)
 	}
-	if r.over || o.Over || o.Status == OK {
+	if r.over || o.RequestEnded || o.Status == OK {
 		g.over(r)
 	} else if r.out == 0 && !r.stream {
 		g.place(r)
@@ -253,7 +255,7 @@
 
 // endAt is when an answer is no longer worth the servers' work: after the aim, for
 // the share of the time left in which it still earns something.
-func (r *request) endAt() float64 { return r.aimAt + r.cls.LateWorth*max(r.DeadlineS-r.aimAt, 0) }
+func (r *request) endAt() float64 { return r.aimAt + r.cls.LateValueShare*max(r.DeadlineAt-r.aimAt, 0) }
 
 // mayRetry tells whether another attempt is allowed and worth it.
 func (g *Gateway) mayRetry(r *request) bool {
@@ -321,14 +323,14 @@
 // alive tells that a peer answers: reports in a row without one take it off the ring for a while.
 func (g *Gateway) alive(gw int) bool {
 	p := &g.peers[gw]
-	return gw == g.s.Me || p.missed < missMost || g.now-p.missAt > silentRetryS
+	return gw == g.s.Self || p.missed < missMost || g.now-p.missAt > silentRetryS
 }
 
 // owner is the gateway that counts the customer.
 func (g *Gateway) owner(c *customer) int {
 	switch {
-	case !g.s.Peers || c.entries == 1:
-		return g.s.Me
+	case !g.s.PeerMessages || c.entries == 1:
+		return g.s.Self
 	case c.entries == 0 || g.alive(c.prime):
 		return c.prime
 	}
@@ -340,10 +342,10 @@
 // request waits for the owner's word, which is the post's own call.
 func (g *Gateway) inQuota(r *request) verdict {
 	c, p := r.cust, r.plan
-	if g.owner(c) == g.s.Me && g.fits(g.ledger(c), c, r.Units, r.cheap) &&
+	if g.owner(c) == g.s.Self && g.fits(g.ledger(c), c, r.Units, r.cheap) &&
 		(g.ceilingHolds(c, r.Units) || g.poolHolds(c, r.Units)) {
 		return pass
-	} else if g.owner(c) == g.s.Me {
+	} else if g.owner(c) == g.s.Self {
 		return deny
 	}
 	room, age, mine := g.roomNow(c), g.now-c.roomAt, g.demandNow(c)
@@ -352,7 +354,7 @@
 		return wait
 	case g.now < c.holdTill:
 		return deny
-	case p.Parallel > 0 && (age > freshS || c.out+c.othersOut+1 >= p.Parallel), !g.ceilingHolds(c, r.Units):
+	case p.MaxParallel > 0 && (age > freshS || c.out+c.othersOut+1 >= p.MaxParallel), !g.ceilingHolds(c, r.Units):
 		return wait
 	}
 	need, used := r.Units, max(c.total-c.acked, 0) // used: let in here since the owner took anything in
@@ -376,7 +378,7 @@
 // cheaper a class is a unit, the more room it must leave to dearer ones.
 func (g *Gateway) fits(l *ledger, c *customer, units, cheap float64) bool {
 	p := c.plan
-	if p.Parallel > 0 && c.out+l.outs(g.now, -1) >= p.Parallel {
+	if p.MaxParallel > 0 && c.out+l.outs(g.now, -1) >= p.MaxParallel {
 		return false
 	} else if p.Rate == 0 {
 		return true
@@ -391,7 +393,7 @@
 func (g *Gateway) inTouch() bool {
 	n := 0
 	for i := range g.peers {
-		if i != g.s.Me && g.now-g.peers[i].heardAt < touchS {
+		if i != g.s.Self && g.now-g.peers[i].heardAt < touchS {
 			n++
 		}
 	}
@@ -406,11 +408,11 @@
 		c.led = &ledger{room: g.roomNow(c), at: g.now, born: g.now, members: map[int]*member{}}
 	}
 	l, rate := c.led, c.plan.Rate
-	if c.prime != g.s.Me && len(l.members) == 0 && !g.inTouch() {
+	if c.prime != g.s.Self && len(l.members) == 0 && !g.inTouch() {
 		rate /= float64(c.entries)
 	}
 	open := g.now - l.at
-	if g.s.Peers && c.entries != 1 && l.at < g.stoodAt { // others counted meanwhile, and will tell
+	if g.s.PeerMessages && c.entries != 1 && l.at < g.stoodAt { // others counted meanwhile, and will tell
 		open = max(open-g.stoodFor, 0)
 	}
 	l.room, l.at = min(c.plan.Burst, l.room+rate*open), g.now
@@ -435,14 +437,14 @@
 }
 
 func (g *Gateway) charge(c *customer, units float64) {
-	if g.owner(c) == g.s.Me {
+	if g.owner(c) == g.s.Self {
 		l := g.ledger(c)
 		l.room = max(l.room-units, min(l.room, 0))
 	}
 	c.total += units
 	if c.total > c.acked || units < 0 {
 		// A sudden burst is told at once: each gateway would pass a batch of it on the same old room.
-		urgent := g.owner(c) != g.s.Me && c.waitFrom == 0 && // nothing told is unanswered
+		urgent := g.owner(c) != g.s.Self && c.waitFrom == 0 && // nothing told is unanswered
 			c.total-c.acked > tellEarly*g.roomNow(c)/float64(max(1, c.entries))
 		if g.note(c, urgent); urgent {
 			g.flush()
@@ -453,7 +455,7 @@
 // note marks the customer for the next report to its owner.
 func (g *Gateway) note(c *customer, urgent bool) {
 	o := g.owner(c)
-	if o == g.s.Me {
+	if o == g.s.Self {
 		c.acked = c.total
 		return
 	}
@@ -479,7 +481,7 @@
 // flush sends what is due to peers. All hear about as much as all send, so each gateway keeps its own
 // reports to a share of what one takes in; answers come on top.
 func (g *Gateway) flush() {
-	share := g.s.PeerIntake * reportShare
+	share := g.s.PeerMessagesPerS * reportShare
 	g.tokens = min(max(2, share*batchS*2), g.tokens+share*(g.now-g.tokensAt))
 	g.tokensAt = g.now
 	g.pending = slices.DeleteFunc(g.pending, func(i int) bool {
@@ -535,7 +537,7 @@
 			b = appendItem(b, n, g.now)
 		}
 	}
-	g.act.Tell(to, b)
+	g.act.SendToPeer(to, b)
 }
 
 // unanswered looks after reports without a reply: they are told again, after a second silence to the
@@ -573,7 +575,7 @@
 // of the rate alone, as the others may go on serving the same customer.
 func (g *Gateway) localHolds(c *customer, units float64) bool {
 	p, n := c.plan, float64(c.entries)
-	if p.Parallel > 0 && c.out+c.othersOut >= p.Parallel {
+	if p.MaxParallel > 0 && c.out+c.othersOut >= p.MaxParallel {
 		return false
 	}
 	c.local = min(max(p.Burst/n, float64(g.s.MaxUnits)), c.local+p.Rate/n*(g.now-c.localAt))
@@ -601,11 +603,11 @@
 	}
 }
 
-// Peer takes a message of another gateway. Reports are answered at once, all in one message.
-func (g *Gateway) Peer(now float64, from int, data []byte) {
+// PeerMessage takes a message of another gateway. Reports are answered at once, all in one message.
+func (g *Gateway) PeerMessage(now float64, from int, data []byte) {
 	g.clock(now)
 	boot, seq, recs, items, ok := parseMessage(data, now)
-	if !ok || from < 0 || from >= len(g.peers) || from == g.s.Me {
+	if !ok || from < 0 || from >= len(g.peers) || from == g.s.Self {
 		return
 	}
 	p := &g.peers[from]
@@ -654,7 +656,7 @@
 	if r.Want > 0 {
 		grant := 0.0
 		for _, w := range []float64{r.Want, r.First} {
-			if c.plan.Parallel > 0 {
+			if c.plan.MaxParallel > 0 {
 				w = r.First
 			}
 			if g.fits(l, c, w, r.Cheap) {
@@ -670,7 +672,7 @@
 				c.pool -= grant
 			}
 		} else {
-			busy := g.s.PeerIntake * holdShare
+			busy := g.s.PeerMessagesPerS * holdShare
 			v.Hold = float64(l.heard(g.now)) / max(busy, 1) * min(g.inRate/max(busy, 1), 3)
 		}
 		v.Want = r.Want
@@ -732,7 +734,7 @@
 // poolHolds does so for the other part, which the first gateway on the customer's ring pays grants from.
 // It is the same one for all, whoever is silent, so the parts add up whatever is lost or restarted.
 func (g *Gateway) poolHolds(c *customer, units float64) bool {
-	if c.prime != g.s.Me || c.plan.CeilingRate <= 0 {
+	if c.prime != g.s.Self || c.plan.CeilingRate <= 0 {
 		return false
 	}
 	p := c.plan
@@ -765,8 +767,8 @@
 		s.sentLog = nil
 		return true
 	}
-	sum := s.sentWithin(g.now, g.s.FallS)
-	budget := share * g.warmRate * g.s.FallS
+	sum := s.sentWithin(g.now, g.s.OverloadWindowS)
+	budget := share * g.warmRate * g.s.OverloadWindowS
 	return s.inflight < 2 && sum+work*g.slowStartDraw(s) <= budget
 }
 
@@ -799,7 +801,7 @@
 		// What the others have there is unseen: the best guess is that each sends as this one does.
 		load := float64(s.inflight) + 1 + float64(g.s.Gateways-1)*s.busy*math.Exp((s.sentAt-g.now)/busyTauS)
 		if s.Zone != g.s.Zone {
-			load += crossWeight * g.s.CrossZonePrice
+			load += crossWeight * g.s.CrossZoneCost
 		}
 		if g.now-s.utilAt < utilS {
 			load += utilWeight * s.util
@@ -835,7 +837,7 @@
 // told takes in what another gateway tells of a server, and tells it on while it is new.
 func (g *Gateway) told(n item) {
 	s := g.byHash[n.server]
-	if s == nil || s.SinceS > n.at {
+	if s == nil || s.StartedAt > n.at {
 		return
 	}
 	if n.class == loadItem {
@@ -857,7 +859,7 @@
 func (g *Gateway) learn(r *request, a *attempt, o Outcome) {
 	s, c := a.srv, r.cls
 	tells := o.Status == OK || o.Status == Timeout && g.sickness(s, c) < hedgeSick // of the others too
-	slow := min(o.SpentS/c.lat, 4)
+	slow := min(o.ElapsedS/c.lat, 4)
 	switch o.Status {
 	case OK:
 		if g.sickness(s, c) > wellNews { // the others hold it for sick by the same news
@@ -865,7 +867,7 @@
 		}
 		s.okAt[c.index], s.sick[c.index], s.goodAt = g.now, sick{0, g.now}, g.now
 		c.n++
-		c.lat += (o.SpentS - c.lat) * max(0.02, 1/float64(c.n+1))
+		c.lat += (o.ElapsedS - c.lat) * max(0.02, 1/float64(c.n+1))
 		if c.n == baseAfter || c.n > baseAfter && c.lat < c.base {
 			c.base = c.lat
 		}
@@ -873,7 +875,7 @@
 	case Timeout, Error:
 		by := errorSick
 		if o.Status == Timeout { // given up soon it tells little: a well server may still be at work on it
-			by = min(by, doubt*math.Exp(o.SpentS/c.lat))
+			by = min(by, doubt*math.Exp(o.ElapsedS/c.lat))
 		}
 		if g.fails(s, c, by); o.Status == Timeout {
 			s.speed += timeoutWeight * max(4-s.speed, 0) // slow, if not silent
@@ -889,8 +891,8 @@
 	if !tells {
 		return
 	}
-	g.spent += 0.1 * (o.SpentS - g.spent)
-	g.stretch += 0.1 * (max(o.SpentS-c.base, 0)/c.AimS - g.stretch)
+	g.spent += 0.1 * (o.ElapsedS - g.spent)
+	g.stretch += 0.1 * (max(o.ElapsedS-c.base, 0)/c.TargetLatencyS - g.stretch)
 	util, fresh := g.meanUtil()
 	easy := fresh && util < utilLow    // cores are free: not driven too hard
 	step := min(1, startLimit/g.limit) // one answer tells of one server among those in use
@@ -927,8 +929,8 @@
 		}
 		a := &r.attempts[len(r.attempts)-1]
 		age, ill := g.now-a.sentAt, g.sickness(a.srv, r.cls) > hedgeSick
-		early := !ill && (!g.s.Parallel || age < hedgeX*r.cls.lat || len(g.queue) > 0)
-		if early || a.done || a.called || age < hedgeShare*r.cls.AimS {
+		early := !ill && (!g.s.ParallelAttempts || age < hedgeX*r.cls.lat || len(g.queue) > 0)
+		if early || a.done || a.called || age < hedgeShare*r.cls.TargetLatencyS {
 			continue
 		}
 		ran, at := r.ran, r.ranAt
@@ -942,7 +944,7 @@
 		switch {
 		case s == nil || s == a.srv:
 			r.ran, r.ranAt = ran, at
-		case g.s.Parallel:
+		case g.s.ParallelAttempts:
 			g.send(r, s)
 		case g.s.Cancel:
 			a.called = true
@@ -956,7 +958,7 @@
 // probe asks servers for their load where that comes with probes alone: the longest unheard of
 // first, and no more than a share of the requests.
 func (g *Gateway) probe() {
-	if !g.s.Probes || !g.s.ReportByProbe || g.probes < 1 {
+	if !g.s.Probes || !g.s.LoadFromProbes || g.probes < 1 {
 		return
 	}
 	next, oldest := (*server)(nil), g.now-probeEveryS
@@ -972,8 +974,8 @@
 	}
 }
 
-// Probed takes the end of a probe.
-func (g *Gateway) Probed(now float64, p ProbeResult) {
+// ProbeEnded takes the end of a probe.
+func (g *Gateway) ProbeEnded(now float64, p ProbeResult) {
 	g.clock(now)
 	s := g.servers[p.Server]
 	if s == nil {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -18,7 +18,7 @@
 type recorder struct{ acts []out }
 
 func (r *recorder) Send(id, s string, t Timing) {
-	r.acts = append(r.acts, out{kind: "send", id: id, server: s, x: t.AnswerS, start: t.StartS})
+	r.acts = append(r.acts, out{kind: "send", id: id, server: s, x: t.AnswerWithinS, start: t.StartWithinS})
 }
 func (r *recorder) Refuse(id string, x float64, _ Refusal) {
 	r.acts = append(r.acts, out{kind: "refuse", id: id, x: x})
@@ -30,7 +30,7 @@
 }
 func (r *recorder) SetTimer(uint64, float64) {}
 func (r *recorder) Probe(s string)           { r.acts = append(r.acts, out{kind: "probe", server: s}) }
-func (r *recorder) Tell(to int, b []byte) {
+func (r *recorder) SendToPeer(to int, b []byte) {
 	r.acts = append(r.acts, out{kind: "tell", to: to, data: append([]byte(nil), b...)})
 }
 func (r *recorder) Log(string) {}
@@ -47,21 +47,21 @@
 
 func testSettings() Settings {
 	return Settings{
-		Me: 0, Gateways: 2, Zone: "a", MaxUnits: 4, PeerIntake: 40, Peers: true, Cancel: true, Parallel: true,
+		Self: 0, Gateways: 2, Zone: "a", MaxUnits: 4, PeerMessagesPerS: 40, PeerMessages: true, Cancel: true, ParallelAttempts: true,
 		MaxAttempts: 3, MaxRetryAfterS: 0.5, AnswerSlackS: 0.01,
-		ColdFrom: 0.2, ColdS: 10, FallMultiple: 3, FallS: 1, TickS: 0.002,
+		ColdStartShare: 0.2, ColdPeriodS: 10, OverloadMultiple: 3, OverloadWindowS: 1, TickS: 0.002,
 		Classes: []Class{
-			{Name: "read", AimS: 1, DeadlineS: 2, Worth: 1, Effect: Safe},
-			{Name: "put", AimS: 1, DeadlineS: 4, Worth: 3, Effect: Keyed, KeyScope: ScopeZone, KeyTTLS: 2},
-			{Name: "cell", AimS: 1, DeadlineS: 4, Worth: 3, Effect: Keyed, KeyScope: ScopeCell, KeyTTLS: 2},
-			{Name: "any", AimS: 3, DeadlineS: 4, Worth: 3, Effect: Keyed, KeyScope: ScopeAll, KeyTTLS: 0.5},
-			{Name: "pay", AimS: 1, DeadlineS: 4, Worth: 5, Effect: Unsafe},
+			{Name: "read", TargetLatencyS: 1, DeadlineS: 2, Value: 1, Effect: Safe},
+			{Name: "put", TargetLatencyS: 1, DeadlineS: 4, Value: 3, Effect: Keyed, KeyScope: ScopeZone, KeyTTLS: 2},
+			{Name: "cell", TargetLatencyS: 1, DeadlineS: 4, Value: 3, Effect: Keyed, KeyScope: ScopeCell, KeyTTLS: 2},
+			{Name: "any", TargetLatencyS: 3, DeadlineS: 4, Value: 3, Effect: Keyed, KeyScope: ScopeAll, KeyTTLS: 0.5},
+			{Name: "pay", TargetLatencyS: 1, DeadlineS: 4, Value: 5, Effect: Unsafe},
 		},
 		Plans: []Plan{
-			{Name: "basic", Rate: 2, Burst: 8, Price: 1, ExcessCost: 1},
-			{Name: "capped", Rate: 10, Burst: 20, Price: 1, ExcessCost: 1, CeilingRate: 20, CeilingBurst: 40, CeilingSlack: 4},
-			{Name: "open", Parallel: 2, Price: 1, ExcessCost: 1},
-			{Name: "wide", Rate: 1000, Burst: 4000, Price: 1},
+			{Name: "basic", Rate: 2, Burst: 8, ValueFactor: 1, ExcessCostShare: 1},
+			{Name: "capped", Rate: 10, Burst: 20, ValueFactor: 1, ExcessCostShare: 1, CeilingRate: 20, CeilingBurst: 40, CeilingSlack: 4},
+			{Name: "open", MaxParallel: 2, ValueFactor: 1, ExcessCostShare: 1},
+			{Name: "wide", Rate: 1000, Burst: 4000, ValueFactor: 1},
 		},
 	}
 }
@@ -87,8 +87,8 @@
 	if class != "read" {
 		d = 4
 	}
-	g.Request(now, Request{ID: id, Class: class, Plan: plan, Customer: "c-" + plan, DeadlineS: now + d,
-		First: 0, Entries: g.s.Gateways, Units: units})
+	g.Request(now, Request{ID: id, Class: class, Plan: plan, Customer: "c-" + plan, DeadlineAt: now + d,
+		FirstGateway: 0, GatewayCount: g.s.Gateways, Units: units})
 }
 
 func TestQuotaIsHeldAndRefills(t *testing.T) {
@@ -125,7 +125,7 @@
 	if n := len(r.of("send", "")); n != 2 {
 		t.Fatalf("%d attempts out, want 2", n)
 	}
-	g.Outcome(100.1, Outcome{ID: "q0", Server: "s1", Status: OK, Over: true, SpentS: 0.1})
+	g.Outcome(100.1, Outcome{ID: "q0", Server: "s1", Status: OK, RequestEnded: true, ElapsedS: 0.1})
 	ask(g, 100.1, "q3", "read", "open", 1)
 	if len(r.of("send", "q3")) != 1 {
 		t.Fatal("an ended attempt did not make room")
@@ -153,12 +153,12 @@
 	for _, c := range []struct {
 		status Status
 		want   string
-	}{{Full, "send"}, {ConnectFailed, "send"}, {Moot, "send"}, {Error, "fail"}, {Timeout, "fail"}, {Reset, "fail"}, {Cancelled, "fail"}} {
+	}{{Rejected, "send"}, {ConnectFailed, "send"}, {NotSent, "send"}, {Error, "fail"}, {Timeout, "fail"}, {Reset, "fail"}, {Cancelled, "fail"}} {
 		g, r := gateway(t, alone)
 		ask(g, 100, "p", "pay", "wide", 1)
 		first := r.of("send", "p")[0]
 		r.acts = nil
-		g.Outcome(100.2, Outcome{ID: "p", Server: first.server, Status: c.status, SpentS: 0.2})
+		g.Outcome(100.2, Outcome{ID: "p", Server: first.server, Status: c.status, ElapsedS: 0.2})
 		if len(r.of(c.want, "p")) != 1 || len(r.of("send", "p"))+len(r.of("fail", "p"))+len(r.of("refuse", "p")) != 1 {
 			t.Errorf("status %d: want one %s, got %v", c.status, c.want, r.acts)
 		}
@@ -178,7 +178,7 @@
 			t.Fatalf("a first attempt begins within %v s, its answer is awaited for %v s", first.start, first.x)
 		}
 		r.acts = nil
-		g.Outcome(100+c.endsAfter, Outcome{ID: "t", Server: first.server, Status: Reset, SpentS: c.endsAfter})
+		g.Outcome(100+c.endsAfter, Outcome{ID: "t", Server: first.server, Status: Reset, ElapsedS: c.endsAfter})
 		again := r.of("send", "t")
 		if (len(again) == 1) != c.begins {
 			t.Errorf("after %v s: %d repeats", c.endsAfter, len(again))
@@ -199,7 +199,7 @@
 		ask(g, 100, id, "put", "wide", 1)
 		first := r.of("send", id)[0].server
 		r.acts = nil
-		g.Outcome(100.2, Outcome{ID: id, Server: first, Status: Reset, SpentS: 0.2})
+		g.Outcome(100.2, Outcome{ID: id, Server: first, Status: Reset, ElapsedS: 0.2})
 		for _, a := range r.of("send", id) {
 			if zone[a.server] != zone[first] {
 				t.Fatalf("resent from %s to %s, another zone", first, a.server)
@@ -209,7 +209,7 @@
 	g, r := gateway(t, alone)
 	ask(g, 100, "c", "cell", "wide", 1)
 	first := r.of("send", "c")[0].server
-	g.Outcome(100.2, Outcome{ID: "c", Server: first, Status: Error, SpentS: 0.2})
+	g.Outcome(100.2, Outcome{ID: "c", Server: first, Status: Error, ElapsedS: 0.2})
 	for _, a := range r.of("send", "c") {
 		if a.server != first {
 			t.Fatalf("resent to %s, another cell", a.server)
@@ -218,7 +218,7 @@
 	g, r = gateway(t, alone)
 	ask(g, 100, "t", "any", "wide", 1)
 	first = r.of("send", "t")[0].server
-	g.Outcome(100.6, Outcome{ID: "t", Server: first, Status: Error, SpentS: 0.6})
+	g.Outcome(100.6, Outcome{ID: "t", Server: first, Status: Error, ElapsedS: 0.6})
 	if len(r.of("send", "t")) != 1 || len(r.of("refuse", "t")) != 1 {
 		t.Fatalf("past the key's time: want a refusal and no resend, got %v", r.acts)
 	}
@@ -230,7 +230,7 @@
 		ask(g, 100, "d", class, "wide", 1)
 		first := r.of("send", "d")[0].server
 		r.acts = nil
-		g.Outcome(104, Outcome{ID: "d", Server: first, Status: Timeout, SpentS: 4})
+		g.Outcome(104, Outcome{ID: "d", Server: first, Status: Timeout, ElapsedS: 4})
 		if len(r.of(want, "d")) != 1 || len(r.of("send", "d")) != 0 {
 			t.Errorf("%s: want one %s in the same batch, got %v", class, want, r.acts)
 		}
@@ -241,7 +241,7 @@
 func TestTryWithNoTimeLeftIsRefusedAtOnce(t *testing.T) {
 	g, r := gateway(t, alone)
 	g.Servers(100, []Server{{ID: "s1", Zone: "a", State: Draining}}, true)
-	g.Request(100, Request{ID: "x", Class: "read", Plan: "basic", Customer: "c", DeadlineS: 100.005, Entries: 1, Units: 1})
+	g.Request(100, Request{ID: "x", Class: "read", Plan: "basic", Customer: "c", DeadlineAt: 100.005, GatewayCount: 1, Units: 1})
 	if len(r.of("refuse", "x")) != 1 {
 		t.Fatal("no answer in the batch of its arrival")
 	}
@@ -272,7 +272,7 @@
 	for i := range 200 {
 		id := fmt.Sprint("q", i)
 		for n, a := range r.of("send", id) {
-			g.Outcome(100.2, Outcome{ID: id, Server: a.server, Attempt: n, Status: OK, Over: true, SpentS: 0.1})
+			g.Outcome(100.2, Outcome{ID: id, Server: a.server, Attempt: n, Status: OK, RequestEnded: true, ElapsedS: 0.1})
 		}
 	}
 	later := 0
@@ -296,14 +296,14 @@
 		id := fmt.Sprint("q", i)
 		ask(g, now, id, "read", "wide", 1)
 		s := at(id)
-		g.Outcome(now+0.01, Outcome{ID: id, Server: s, Status: OK, Over: true, SpentS: 0.1})
+		g.Outcome(now+0.01, Outcome{ID: id, Server: s, Status: OK, RequestEnded: true, ElapsedS: 0.1})
 		g.Timer(now+0.01, 1)
 		return s
 	}
 	for i := range 300 {
 		step(i, 100+float64(i)*0.02)
 	}
-	g.Servers(106, []Server{{ID: "s1", Zone: "a", Cell: 1, SinceS: 105.9}}, false)
+	g.Servers(106, []Server{{ID: "s1", Zone: "a", Cell: 1, StartedAt: 105.9}}, false)
 	cold, warm := 0, 0
 	for i := range 50 {
 		if step(1000+i, 106+float64(i)*0.02) == "s1" {
@@ -320,7 +320,7 @@
 // pair joins two gateways by a perfect wire.
 func pair(t *testing.T) (g [2]*Gateway, r [2]*recorder, pump func(now float64)) {
 	for i := range 2 {
-		g[i], r[i] = gateway(t, func(s *Settings) { s.Me = i })
+		g[i], r[i] = gateway(t, func(s *Settings) { s.Self = i })
 	}
 	seen := [2]int{}
 	return g, r, func(now float64) {
@@ -330,7 +330,7 @@
 		for i := range 2 {
 			for ; seen[i] < len(r[i].acts); seen[i]++ {
 				if a := r[i].acts[seen[i]]; a.kind == "tell" {
-					g[1-i].Peer(now, i, a.data)
+					g[1-i].PeerMessage(now, i, a.data)
 				}
 			}
 		}
@@ -359,7 +359,7 @@
 	for ; *seen < len(r.acts); *seen++ {
 		if a := r.acts[*seen]; a.kind == "send" {
 			ids = append(ids, a.id)
-			g.Outcome(now, Outcome{ID: a.id, Server: a.server, Status: OK, Over: true, SpentS: 0.05})
+			g.Outcome(now, Outcome{ID: a.id, Server: a.server, Status: OK, RequestEnded: true, ElapsedS: 0.05})
 		}
 	}
 	return ids
@@ -367,7 +367,7 @@
 
 func TestRestartedOwnerIsRefilledByTheNextBatch(t *testing.T) {
 	g, r, pump := pair(t)
-	own := g[0].customer(Request{Customer: "c-basic", Plan: "basic", Entries: 2}).prime
+	own := g[0].customer(Request{Customer: "c-basic", Plan: "basic", GatewayCount: 2}).prime
 	m, seen := 1-own, 0
 	for i := range 100 {
 		now := 102 + float64(i)*0.02
@@ -376,7 +376,7 @@
 		served(g[m], r[m], &seen, now)
 	}
 	s := testSettings()
-	s.Me = own
+	s.Self = own
 	fresh, err := New(s, 99, 104, r[own])
 	if err != nil {
 		t.Fatal(err)
@@ -390,7 +390,7 @@
 	}
 	for _, a := range r[m].acts[n:] {
 		if a.kind == "tell" {
-			fresh.Peer(104.3, m, a.data)
+			fresh.PeerMessage(104.3, m, a.data)
 		}
 	}
 	c := fresh.custs[uint32(hashOf("c-basic")>>32)]
@@ -406,12 +406,12 @@
 	name := ""
 	for i := 0; ; i++ {
 		name = fmt.Sprint("k", i)
-		if g.walk(&customer{hash: hashOf(name), entries: g.s.Gateways}, false) != g.s.Me {
+		if g.walk(&customer{hash: hashOf(name), entries: g.s.Gateways}, false) != g.s.Self {
 			break
 		}
 	}
 	return g, r, func(now float64, id string, units float64) *customer {
-		g.Request(now, Request{ID: id, Class: "read", Plan: "basic", Customer: name, DeadlineS: now + 2, Entries: g.s.Gateways,
+		g.Request(now, Request{ID: id, Class: "read", Plan: "basic", Customer: name, DeadlineAt: now + 2, GatewayCount: g.s.Gateways,
 			Units: units})
 		return g.custs[uint32(hashOf(name)>>32)]
 	}
@@ -448,7 +448,7 @@
 			t.Fatal("a gateway of a hundred decided alone")
 		}
 		from, b := verdictOf(t, r, 1, func(v *record) { v.Total += grant; v.Room = 1 })
-		g.Peer(100.03, from, b)
+		g.PeerMessage(100.03, from, b)
 		if sent := len(r.of("send", "q")); sent != int(grant/2) || sent+len(r.of("refuse", "q")) != 1 {
 			t.Fatalf("granted %v of 2 units: %v", grant, r.acts)
 		}
@@ -461,7 +461,7 @@
 	for i := range 30 {
 		b := appendRecord(appendHeader(nil, 1, 1), record{Key: 77, Plan: 0, Want: 1, First: 1})
 		b[msgCount] = 1
-		g.Peer(100, 1+i, b)
+		g.PeerMessage(100, 1+i, b)
 		tells := r.of("tell", "")
 		_, _, recs, _, _ := parseMessage(tells[len(tells)-1].data, 100)
 		if granted += recs[0].Total; i == 29 && recs[0].Hold == 0 {
@@ -479,7 +479,7 @@
 	tell := func(seq uint16, r record) {
 		b := appendRecord(appendHeader(nil, 1, seq), r)
 		b[msgCount] = 1
-		g.Peer(100, 1, b)
+		g.PeerMessage(100, 1, b)
 	}
 	tell(1, record{Key: 77, Want: 6, First: 6})
 	tell(2, record{Key: 77, Want: 6, First: 6}) // told again, as the answer was lost
@@ -521,7 +521,7 @@
 		t.Fatal("a gap of this gateway counted as silence of another")
 	}
 	from, b := verdictOf(t, r, 1, func(v *record) { v.Total += 2 })
-	g.Peer(100.5, from, b)
+	g.PeerMessage(100.5, from, b)
 	if len(r.of("send", "q")) != 1 {
 		t.Fatal("the verdict that came meanwhile was not used")
 	}
@@ -543,7 +543,7 @@
 	var seen [n]int
 	born := func(i int, now float64) {
 		s := testSettings()
-		s.Me, s.Gateways, s.Plans[1].Rate, s.Plans[1].Burst = i, n, rate, burst
+		s.Self, s.Gateways, s.Plans[1].Rate, s.Plans[1].Burst = i, n, rate, burst
 		rs[i], seen[i] = &recorder{}, 0
 		gs[i], _ = New(s, uint64(i), now, rs[i])
 		gs[i].Servers(now, []Server{{ID: "s1"}, {ID: "s2"}}, true)
@@ -558,8 +558,8 @@
 			born(k/300%n, now)
 		}
 		i := k * 7 % n
-		gs[i].Request(now, Request{ID: fmt.Sprint("q", k), Class: "read", Plan: "capped", Customer: "c", DeadlineS: now + 2,
-			Entries: n, Units: 2})
+		gs[i].Request(now, Request{ID: fmt.Sprint("q", k), Class: "read", Plan: "capped", Customer: "c", DeadlineAt: now + 2,
+			GatewayCount: n, Units: 2})
 		for i := range n {
 			if gs[i].Timer(now, 1); k%4 != 0 {
 				continue
@@ -568,9 +568,9 @@
 				switch a := rs[i].acts[seen[i]]; {
 				case a.kind == "send":
 					units += 2
-					gs[i].Outcome(now, Outcome{ID: a.id, Status: OK, Over: true, SpentS: 0.05})
+					gs[i].Outcome(now, Outcome{ID: a.id, Status: OK, RequestEnded: true, ElapsedS: 0.05})
 				case a.kind == "tell" && seen[i]%5 != 0:
-					gs[a.to].Peer(now, i, a.data)
+					gs[a.to].PeerMessage(now, i, a.data)
 				}
 			}
 		}
@@ -623,7 +623,7 @@
 			id := fmt.Sprint(class, i)
 			ask(g, 100.5, id, class, "wide", 1)
 			at := r.of("send", id)[0].server
-			if g.Outcome(100.5, Outcome{ID: id, Status: OK, Over: true, SpentS: 0.05}); at == "s1" && class == "read" {
+			if g.Outcome(100.5, Outcome{ID: id, Status: OK, RequestEnded: true, ElapsedS: 0.05}); at == "s1" && class == "read" {
 				t.Fatal("a server sick for a class was sent it")
 			} else if at == "s1" {
 				pays++
@@ -638,11 +638,11 @@
 // What one gateway of many sees too rarely is told: use and sickness of servers ride on messages.
 func TestNewsOfServersIsToldOn(t *testing.T) {
 	a, ra, ask := asMember(t, fleet(100))
-	b, rb := gateway(t, func(s *Settings) { s.Gateways, s.Me = 100, 1 })
+	b, rb := gateway(t, func(s *Settings) { s.Gateways, s.Self = 100, 1 })
 	a.fails(a.servers["s2"], a.classes["pay"], 1)
 	a.report(a.servers["s1"], &Load{Util: 0.6})
 	ask(100, "q", 2)
-	b.Peer(100.01, 0, ra.of("tell", "")[0].data)
+	b.PeerMessage(100.01, 0, ra.of("tell", "")[0].data)
 	if b.sickness(b.servers["s2"], b.classes["pay"]) < 0.9 || b.sickness(b.servers["s2"], b.classes["read"]) > 0 {
 		t.Fatal("sickness was not told on")
 	}
@@ -692,13 +692,13 @@
 	for i := range 40 {
 		id := fmt.Sprint("q", i)
 		ask(g, 100+float64(i), id, "read", "basic", 1)
-		g.Outcome(100+float64(i), Outcome{ID: id, Server: r.of("send", id)[0].server, Status: OK, Over: true, SpentS: 0.1})
+		g.Outcome(100+float64(i), Outcome{ID: id, Server: r.of("send", id)[0].server, Status: OK, RequestEnded: true, ElapsedS: 0.1})
 	}
-	g.Request(150, Request{ID: "late", Class: "read", Plan: "basic", Customer: "x", DeadlineS: 150.8, Entries: 1, Units: 1})
+	g.Request(150, Request{ID: "late", Class: "read", Plan: "basic", Customer: "x", DeadlineAt: 150.8, GatewayCount: 1, Units: 1})
 	if len(r.of("send", "late")) != 0 || len(r.of("refuse", "late")) != 1 {
 		t.Fatal("a try past its aim was sent on")
 	}
-	g.Request(150, Request{ID: "soon", Class: "read", Plan: "basic", Customer: "x", DeadlineS: 151.7, Entries: 1, Units: 1})
+	g.Request(150, Request{ID: "soon", Class: "read", Plan: "basic", Customer: "x", DeadlineAt: 151.7, GatewayCount: 1, Units: 1})
 	if len(r.of("send", "soon")) != 1 {
 		t.Fatal("a try that can still make its aim was refused")
 	}
@@ -709,19 +709,19 @@
 	n := len(r.acts)
 	good := appendRecord(appendHeader(nil, 1, 1), record{Key: 5, Plan: 15})
 	for i := range good {
-		g.Peer(100, 1, good[:i])
+		g.PeerMessage(100, 1, good[:i])
 	}
-	g.Peer(100, 9, good)
-	g.Peer(100, -1, good)
-	g.Peer(100, 1, append([]byte{msgVersion + 1}, good[1:]...))
+	g.PeerMessage(100, 9, good)
+	g.PeerMessage(100, -1, good)
+	g.PeerMessage(100, 1, append([]byte{msgVersion + 1}, good[1:]...))
 	good[msgCount] = 1
-	g.Peer(100, 1, good)
-	g.Peer(100, 1, append(good, 1, 2, 3))
-	g.Peer(100, 1, make([]byte, 4000))
+	g.PeerMessage(100, 1, good)
+	g.PeerMessage(100, 1, append(good, 1, 2, 3))
+	g.PeerMessage(100, 1, make([]byte, 4000))
 	g.Outcome(100, Outcome{ID: "none", Server: "s1"})
-	g.Gone(100, "none")
-	g.Started(100, "none", 0)
-	g.Probed(100, ProbeResult{Server: "none"})
+	g.RequestAbandoned(100, "none")
+	g.StreamStarted(100, "none", 0)
+	g.ProbeEnded(100, ProbeResult{Server: "none"})
 	g.Timer(100, 77)
 	if len(r.acts) != n {
 		t.Fatalf("acted on odd input: %v", r.acts[n:])
@@ -732,7 +732,7 @@
 	for want, change := range map[string]func(*Settings){
 		"gateways": func(s *Settings) { s.Gateways = 0 },
 		"16 at":    func(s *Settings) { s.Plans = make([]Plan, 17) },
-		"me is":    func(s *Settings) { s.Me = 2 },
+		"me is":    func(s *Settings) { s.Self = 2 },
 		"classes":  func(s *Settings) { s.Classes = nil },
 		"deadline": func(s *Settings) { s.Classes[0].DeadlineS = 0 },
 		"burst":    func(s *Settings) { s.Plans[0].Burst = 0 },
@@ -752,10 +752,10 @@
 		for i := range 300 {
 			now := 100 + float64(i)*0.01
 			id := fmt.Sprint("q", i)
-			g.Request(now, Request{ID: id, Class: "read", Plan: "wide", Customer: fmt.Sprint("c", i%37), DeadlineS: now + 2,
-				Entries: 2, Units: 1})
+			g.Request(now, Request{ID: id, Class: "read", Plan: "wide", Customer: fmt.Sprint("c", i%37), DeadlineAt: now + 2,
+				GatewayCount: 2, Units: 1})
 			for n, a := range r.of("send", id) {
-				g.Outcome(now, Outcome{ID: id, Server: a.server, Attempt: n, Status: Status(i % 4), SpentS: 0.05})
+				g.Outcome(now, Outcome{ID: id, Server: a.server, Attempt: n, Status: Status(i % 4), ElapsedS: 0.05})
 			}
 			g.Timer(now, 1)
 		}
@@ -804,7 +804,7 @@
 	g, _ := gateway(t, nil)
 	b := appendRecord(appendHeader(nil, 1, 1), record{Key: 5, Known: true, Total: 0, Room: 1})
 	b[msgCount] = 1
-	g.Peer(104, 1, b)
+	g.PeerMessage(104, 1, b)
 	if room := g.ledger(g.custs[5]).room; room > 1 {
 		t.Fatalf("room is %v after a member handed back 1", room)
 	}
@@ -813,23 +813,23 @@
 // A request for units alone is decided by the same count as work, takes from the same quota, keeps what
 // it took and never reaches a server.
 func TestLimitTakesFromTheQuotaOfWork(t *testing.T) {
-	g, r := gateway(t, func(s *Settings) { s.Gateways, s.Peers = 1, false })
+	g, r := gateway(t, func(s *Settings) { s.Gateways, s.PeerMessages = 1, false })
 	for i := range 3 {
-		g.Request(100, Request{ID: fmt.Sprint("l", i), Class: "pay", Plan: "basic", Customer: "ada", DeadlineS: 102,
-			Units: 3, Limit: true})
+		g.Request(100, Request{ID: fmt.Sprint("l", i), Class: "pay", Plan: "basic", Customer: "ada", DeadlineAt: 102,
+			Units: 3, QuotaOnly: true})
 	}
 	if len(r.of("admit", "")) != 2 || len(r.of("refuse", "l2")) != 1 || len(r.of("send", "")) != 0 {
 		t.Fatalf("two of three should be admitted, none sent: %+v", r.acts)
 	}
-	if room, ok := g.Room(100, "ada"); !ok || room != 2 {
+	if room, ok := g.RemainingUnits(100, "ada"); !ok || room != 2 {
 		t.Fatalf("room %v %v, want 2: what was admitted stays taken", room, ok)
 	}
-	g.Request(100, Request{ID: "w", Class: "pay", Plan: "basic", Customer: "ada", DeadlineS: 102, Units: 2})
-	g.Request(100, Request{ID: "l3", Class: "pay", Plan: "basic", Customer: "ada", DeadlineS: 102, Units: 1, Limit: true})
+	g.Request(100, Request{ID: "w", Class: "pay", Plan: "basic", Customer: "ada", DeadlineAt: 102, Units: 2})
+	g.Request(100, Request{ID: "l3", Class: "pay", Plan: "basic", Customer: "ada", DeadlineAt: 102, Units: 1, QuotaOnly: true})
 	if len(r.of("send", "w")) != 1 || len(r.of("refuse", "l3")) != 1 {
 		t.Fatalf("work and limits should share a quota: %+v", r.acts)
 	}
-	if _, ok := g.Room(100, "eve"); ok {
+	if _, ok := g.RemainingUnits(100, "eve"); ok {
 		t.Fatal("room of a customer never seen")
 	}
 }
@@ -839,11 +839,11 @@
 	g, r := gateway(t, nil)
 	name := ""
 	for i := 0; name == ""; i++ {
-		if c := g.customer(Request{Customer: fmt.Sprint("c", i), Plan: "basic", Entries: 2}); c.prime == 1 {
+		if c := g.customer(Request{Customer: fmt.Sprint("c", i), Plan: "basic", GatewayCount: 2}); c.prime == 1 {
 			name = fmt.Sprint("c", i)
 		}
 	}
-	g.Request(100, Request{ID: "l", Class: "read", Plan: "basic", Customer: name, DeadlineS: 102, Entries: 2, Units: 5, Limit: true})
+	g.Request(100, Request{ID: "l", Class: "read", Plan: "basic", Customer: name, DeadlineAt: 102, GatewayCount: 2, Units: 5, QuotaOnly: true})
 	if len(r.of("tell", "")) != 1 || len(r.of("admit", "l")) != 0 {
 		t.Fatalf("the owner should be asked first: %+v", r.acts)
 	}
@@ -859,8 +859,8 @@
 func TestHomeIsKept(t *testing.T) {
 	g, r := gateway(t, nil)
 	for i := range 20 {
-		g.Request(100, Request{ID: fmt.Sprint("k", i), Class: "put", Plan: "wide", Customer: "ada", DeadlineS: 104,
-			Units: 1, Entries: 1, Home: "s3"})
+		g.Request(100, Request{ID: fmt.Sprint("k", i), Class: "put", Plan: "wide", Customer: "ada", DeadlineAt: 104,
+			Units: 1, GatewayCount: 1, HomeServer: "s3"})
 	}
 	if len(r.of("send", "")) == 0 {
 		t.Fatal("nothing was sent")
@@ -876,8 +876,8 @@
 func TestEarlierRunOfAKey(t *testing.T) {
 	g, r := gateway(t, nil)
 	put := func(id string, ranAt float64) {
-		g.Request(g.now, Request{ID: id, Class: "put", Plan: "wide", Customer: "ada", DeadlineS: g.now + 4, Units: 1, Entries: 1,
-			Ran: "s3", RanAt: ranAt})
+		g.Request(g.now, Request{ID: id, Class: "put", Plan: "wide", Customer: "ada", DeadlineAt: g.now + 4, Units: 1, GatewayCount: 1,
+			EarlierServer: "s3", EarlierSentAt: ranAt})
 	}
 	put("soon", 99.5)
 	if a := r.of("send", "soon"); len(a) != 1 || a[0].server != "s3" {
@@ -899,19 +899,19 @@
 
 // Units handed back can be taken again, by the owner's count and by a member's.
 func TestReturn(t *testing.T) {
-	g, r := gateway(t, func(s *Settings) { s.Gateways, s.Peers = 1, false })
+	g, r := gateway(t, func(s *Settings) { s.Gateways, s.PeerMessages = 1, false })
 	ask := func(id string) {
-		g.Request(100, Request{ID: id, Class: "pay", Plan: "basic", Customer: "ada", DeadlineS: 102, Units: 8, Limit: true})
+		g.Request(100, Request{ID: id, Class: "pay", Plan: "basic", Customer: "ada", DeadlineAt: 102, Units: 8, QuotaOnly: true})
 	}
 	ask("a")
 	ask("b")
-	g.Return(100, "ada", 8)
-	g.Return(100, "eve", 8)
+	g.ReturnUnits(100, "ada", 8)
+	g.ReturnUnits(100, "eve", 8)
 	ask("c")
 	if len(r.of("admit", "a")) != 1 || len(r.of("refuse", "b")) != 1 || len(r.of("admit", "c")) != 1 {
 		t.Fatalf("%+v", r.acts)
 	}
-	if room, _ := g.Room(100, "ada"); room != 0 {
+	if room, _ := g.RemainingUnits(100, "ada"); room != 0 {
 		t.Fatalf("room %v, want 0", room)
 	}
 }
@@ -922,13 +922,13 @@
 	g, r := gateway(t, nil)
 	name := ""
 	for i := 0; name == ""; i++ {
-		if c := g.customer(Request{Customer: fmt.Sprint("c", i), Plan: "basic", Entries: 2}); c.prime == 1 {
+		if c := g.customer(Request{Customer: fmt.Sprint("c", i), Plan: "basic", GatewayCount: 2}); c.prime == 1 {
 			name = fmt.Sprint("c", i)
 		}
 	}
 	for i := range 8 {
-		g.Request(100, Request{ID: fmt.Sprint("b", i), Class: "pay", Plan: "basic", Customer: name, DeadlineS: 104, Entries: 2,
-			Units: 1, Limit: true})
+		g.Request(100, Request{ID: fmt.Sprint("b", i), Class: "pay", Plan: "basic", Customer: name, DeadlineAt: 104, GatewayCount: 2,
+			Units: 1, QuotaOnly: true})
 	}
 	if n := len(r.of("admit", "")); n != 4 {
 		t.Errorf("%d of a burst of 8 passed unheard, want this gateway's split of 4", n)
@@ -949,16 +949,16 @@
 		g.Servers(100, []Server{{ID: "s1"}, {ID: "s2"}}, true)
 		who := ""
 		for i := 0; who == ""; i++ { // a customer that this gateway owns
-			c := g.customer(Request{Customer: fmt.Sprint("c", i), Plan: "basic", Entries: n})
-			if c.prime == g.s.Me {
+			c := g.customer(Request{Customer: fmt.Sprint("c", i), Plan: "basic", GatewayCount: n})
+			if c.prime == g.s.Self {
 				who = fmt.Sprint("c", i)
 			}
 		}
 		ask := func(now float64) (passed int) {
 			before := len(r.of("admit", ""))
 			for i := range 20 {
-				g.Request(now, Request{ID: fmt.Sprint("q", now, i), Class: "read", Plan: "basic", Customer: who, DeadlineS: now + 10,
-					Entries: n, Units: 1, Limit: true})
+				g.Request(now, Request{ID: fmt.Sprint("q", now, i), Class: "read", Plan: "basic", Customer: who, DeadlineAt: now + 10,
+					GatewayCount: n, Units: 1, QuotaOnly: true})
 			}
 			return len(r.of("admit", "")) - before
 		}
@@ -1006,7 +1006,7 @@
 	if g.servers["old"] == nil {
 		t.Error("a server with an attempt out was forgotten")
 	}
-	g.Outcome(now, Outcome{ID: "q", Server: "old", Status: Timeout, Over: true})
+	g.Outcome(now, Outcome{ID: "q", Server: "old", Status: Timeout, RequestEnded: true})
 	for end := now + forgetS; now < end; now++ {
 		g.Timer(now, 1)
 	}
@@ -1023,7 +1023,7 @@
 	step := func(now float64, id string, s Status) (sent bool) {
 		ask(g, now, id, "pay", "wide", 1)
 		if sent = len(r.of("send", id)) == 1; sent {
-			g.Outcome(now+0.1, Outcome{ID: id, Server: "s1", Status: s, SpentS: 0.1})
+			g.Outcome(now+0.1, Outcome{ID: id, Server: "s1", Status: s, ElapsedS: 0.1})
 		}
 		return sent
 	}
@@ -1089,7 +1089,7 @@
 			g, _ = New(s, 7, 100, r)
 			g.Servers(100, []Server{{ID: "s1", Zone: "a"}, {ID: "s2", Zone: "a"}}, true)
 			customer = fmt.Sprint("c", k)
-			x := g.customer(Request{Customer: customer, Plan: c.plan, Entries: 3})
+			x := g.customer(Request{Customer: customer, Plan: c.plan, GatewayCount: 3})
 			g.peers[1].missed, g.peers[1].missAt = missMost, g.now
 			away := g.walk(x, true)
 			g.peers[1].missed = 0
@@ -1104,10 +1104,10 @@
 				seq++
 				b := appendRecord(appendHeader(nil, 1, seq), record{Key: 9, Plan: 0, Total: 1})
 				b[msgCount] = 1
-				g.Peer(now, 2, b)
+				g.PeerMessage(now, 2, b)
 			}
 			if i%2 == 0 {
-				g.Request(now, Request{ID: fmt.Sprint("q", i), Class: "read", Plan: c.plan, Customer: customer, DeadlineS: now + 2, Entries: 3, Units: 1})
+				g.Request(now, Request{ID: fmt.Sprint("q", i), Class: "read", Plan: c.plan, Customer: customer, DeadlineAt: now + 2, GatewayCount: 3, Units: 1})
 			}
 			g.Timer(now, 1)
 			served(g, r, &seen, now)
@@ -1127,7 +1127,7 @@
 		g.classes["read"].lat = 0.1
 		ask(g, 100, "q", "read", "wide", 1)
 		s := r.of("send", "q")[0].server
-		g.Outcome(100+spent, Outcome{ID: "q", Server: s, Status: Timeout, SpentS: spent})
+		g.Outcome(100+spent, Outcome{ID: "q", Server: s, Status: Timeout, ElapsedS: spent})
 		return g.sickness(g.servers[s], g.classes["read"])
 	}
 	if short, long := sick(0.15), sick(0.6); short > 0.1 || long < 0.4 {
@@ -1145,7 +1145,7 @@
 			n++
 			id, now := fmt.Sprint("q", n), 100+float64(n)*0.02
 			ask(g, now, id, "read", "wide", 1)
-			g.Outcome(now+0.01, Outcome{ID: id, Server: r.of("send", id)[0].server, Status: OK, Over: true, SpentS: spent})
+			g.Outcome(now+0.01, Outcome{ID: id, Server: r.of("send", id)[0].server, Status: OK, RequestEnded: true, ElapsedS: spent})
 		}
 		for range 30 {
 			one(first)
@@ -1168,14 +1168,14 @@
 // full for a moment were shunned by a whole fleet for seconds, one after the other, and what was left of them was overrun.
 func TestAnswerOfASickServerIsToldOn(t *testing.T) {
 	a, ra, ask := asMember(t, fleet(100))
-	b, _ := gateway(t, func(s *Settings) { s.Gateways, s.Me = 100, 1 })
+	b, _ := gateway(t, func(s *Settings) { s.Gateways, s.Self = 100, 1 })
 	for _, g := range []*Gateway{a, b} {
 		g.servers["s2"].sick[g.classes["read"].index] = sick{0.9, 99}
 	}
 	r := &request{cls: a.classes["read"]}
-	a.learn(r, &attempt{srv: a.servers["s2"], sentAt: 99.9}, Outcome{Status: OK, SpentS: 0.1})
+	a.learn(r, &attempt{srv: a.servers["s2"], sentAt: 99.9}, Outcome{Status: OK, ElapsedS: 0.1})
 	ask(100, "q", 2)
-	b.Peer(100.01, 0, ra.of("tell", "")[0].data)
+	b.PeerMessage(100.01, 0, ra.of("tell", "")[0].data)
 	for name, g := range map[string]*Gateway{"the one that was answered": a, "the other": b} {
 		if x := g.sickness(g.servers["s2"], g.classes["read"]); x > 0.01 {
 			t.Errorf("%s holds it for sick still: %.2f", name, x)
--- a/policy/state.go
+++ b/policy/state.go
@@ -68,7 +68,7 @@
 			s.hash = uint16(hashOf(e.ID))
 			g.servers[e.ID] = s
 			g.hashed(s)
-		} else if e.SinceS > s.SinceS {
+		} else if e.StartedAt > s.StartedAt {
 			restarted(s)
 		}
 		s.Server, s.listed = e, e.State != Removed
@@ -290,7 +290,7 @@
 }
 
 // sameGroup tells whether two servers drop the repeats of the same key.
-func sameGroup(scope Scope, a, b *server) bool {
+func sameGroup(scope KeyScope, a, b *server) bool {
 	switch scope {
 	case ScopeZone:
 		return a.Zone == b.Zone
@@ -300,27 +300,27 @@
 	return true
 }
 
-// Check tells what is wrong with the settings, nil if New takes them.
-func (s Settings) Check() error {
+// Validate tells what is wrong with the settings, nil if New takes them.
+func (s Settings) Validate() error {
 	switch {
 	case s.Gateways < 1:
 		return fmt.Errorf("gateways is %d, want 1 at least", s.Gateways)
-	case s.Me < 0 || s.Me >= s.Gateways:
-		return fmt.Errorf("me is %d, want 0 to %d", s.Me, s.Gateways-1)
+	case s.Self < 0 || s.Self >= s.Gateways:
+		return fmt.Errorf("me is %d, want 0 to %d", s.Self, s.Gateways-1)
 	case len(s.Classes) == 0:
 		return fmt.Errorf("no classes given")
 	case len(s.Plans) > 16:
 		return fmt.Errorf("%d plans given, 16 at most", len(s.Plans))
 	}
 	for _, c := range s.Classes {
-		if !(c.DeadlineS > 0) || !(c.AimS > 0) || c.Worth < 0 {
+		if !(c.DeadlineS > 0) || !(c.TargetLatencyS > 0) || c.Value < 0 {
 			return fmt.Errorf("class %q: aim and deadline must be above 0 and worth not below", c.Name)
 		} else if c.Effect == Keyed && !(c.KeyTTLS > 0) {
 			return fmt.Errorf("class %q: its keys are kept for %v s, want above 0", c.Name, c.KeyTTLS)
 		}
 	}
 	for _, p := range s.Plans {
-		if p.Rate < 0 || p.Rate > 0 && p.Burst <= 0 || p.Parallel < 0 || p.CeilingRate < 0 || p.Price < 0 {
+		if p.Rate < 0 || p.Rate > 0 && p.Burst <= 0 || p.MaxParallel < 0 || p.CeilingRate < 0 || p.ValueFactor < 0 {
 			return fmt.Errorf("plan %q: rates must not be below 0, and a rate needs a burst", p.Name)
 		}
 	}
@@ -332,7 +332,7 @@
 	if r.cust == nil {
 		return
 	}
-	if r.cust.out += n; r.plan.Parallel > 0 {
+	if r.cust.out += n; r.plan.MaxParallel > 0 {
 		g.note(r.cust, false)
 	}
 }
@@ -369,7 +369,7 @@
 			return gw
 		}
 	}
-	return g.s.Me
+	return g.s.Self
 }
 
 // expect has the customer's reports looked after until they are answered.
@@ -424,22 +424,22 @@
 	g.now = now
 }
 
-// Room tells what this gateway knows to be left of a customer's quota, in units, below 0 where more
+// RemainingUnits tells what this gateway knows to be left of a customer's quota, in units, below 0 where more
 // was counted than it holds; false for a customer of whom it knows nothing.
-func (g *Gateway) Room(now float64, customer string) (float64, bool) {
+func (g *Gateway) RemainingUnits(now float64, customer string) (float64, bool) {
 	g.clock(now)
 	c := g.custs[uint32(hashOf(customer)>>32)]
 	if c == nil {
 		return 0, false
-	} else if g.owner(c) == g.s.Me {
+	} else if g.owner(c) == g.s.Self {
 		return g.ledger(c).room, true
 	}
 	return g.roomNow(c), true
 }
 
-// Return hands back units that a Limit request was admitted for and that were not used after all. A
+// ReturnUnits hands back units that a Limit request was admitted for and that were not used after all. A
 // ceiling is not given back: it bounds what may have been sent.
-func (g *Gateway) Return(now float64, customer string, units float64) {
+func (g *Gateway) ReturnUnits(now float64, customer string, units float64) {
 	g.clock(now)
 	if c := g.custs[uint32(hashOf(customer)>>32)]; c != nil && units > 0 {
 		g.charge(c, -units)
@@ -455,7 +455,7 @@
 		c = g.newCustomer(key, g.byPlan[q.Plan])
 	}
 	if c.entries == 0 {
-		c.hash, c.first, c.entries = h, q.First, q.Entries
+		c.hash, c.first, c.entries = h, q.FirstGateway, q.GatewayCount
 		if c.entries <= 0 || c.entries > g.s.Gateways {
 			c.first, c.entries = 0, g.s.Gateways
 		}
@@ -468,7 +468,7 @@
 // setUp makes the classes, the plans and the ring.
 func (g *Gateway) setUp(points int) {
 	for i, c := range g.s.Classes {
-		g.maxWorth = max(g.maxWorth, c.Worth)
+		g.maxWorth = max(g.maxWorth, c.Value)
 		g.classList = append(g.classList, newClass(c, i))
 		g.classes[c.Name] = g.classList[i]
 	}
@@ -488,21 +488,21 @@
 
 // coldShare is the least part of its capacity that the server must have by now.
 func (g *Gateway) coldShare(s *server) float64 {
-	age := g.now - s.SinceS
-	if s.SinceS <= 0 || age >= g.s.ColdS || g.s.ColdS <= 0 {
+	age := g.now - s.StartedAt
+	if s.StartedAt <= 0 || age >= g.s.ColdPeriodS || g.s.ColdPeriodS <= 0 {
 		return 1
 	}
-	return g.s.ColdFrom + (1-g.s.ColdFrom)*max(age, 0)/g.s.ColdS
+	return g.s.ColdStartShare + (1-g.s.ColdStartShare)*max(age, 0)/g.s.ColdPeriodS
 }
 
 // slowStartDraw is this gateway's draw, 0 to 1, for a server and the window of fallS that it is in. The draws of
 // all gateways for one server are spread evenly, and so are the beginnings of their windows.
 func (g *Gateway) slowStartDraw(s *server) float64 {
 	const golden, silver = 0.6180339887498949, 0.7548776662466927 // their multiples spread evenly, and apart from each other
-	_, phase := math.Modf(float64(g.s.Me) * silver)
-	window := uint64(max((g.now-s.SinceS)/max(g.s.FallS, 1e-3)+phase, 0))
+	_, phase := math.Modf(float64(g.s.Self) * silver)
+	window := uint64(max((g.now-s.StartedAt)/max(g.s.OverloadWindowS, 1e-3)+phase, 0))
 	draw := float64(mix(hashOf(s.ID)+window)>>11) / (1 << 53)
-	_, draw = math.Modf(draw + float64(g.s.Me)*golden)
+	_, draw = math.Modf(draw + float64(g.s.Self)*golden)
 	return draw
 }
 
@@ -562,38 +562,38 @@
 	return delta
 }
 
-// Started takes the start of a streamed answer: the attempt belongs to the client now.
-func (g *Gateway) Started(now float64, id string, attempt int) {
+// StreamStarted takes the start of a streamed answer: the attempt belongs to the client now.
+func (g *Gateway) StreamStarted(now float64, id string, attempt int) {
 	g.clock(now)
 	if r := g.reqs[id]; r != nil {
 		r.stream = true
 	}
 }
 
-// Gone takes the news that the request needs no answer any more.
-func (g *Gateway) Gone(now float64, id string) {
+// RequestAbandoned takes the news that the request needs no answer any more.
+func (g *Gateway) RequestAbandoned(now float64, id string) {
 	g.clock(now)
 	if r := g.reqs[id]; r != nil && !r.over {
 		g.over(r)
 	}
 }
 
-// Belief is what a gateway holds of one server.
-type Belief struct {
-	Server   Server
-	InFlight int
-	Speed    float64 // latency against the mean of its class: 1 is usual
-	Sick     float64 // 0 to 1, of the class it is sickest for
-	Util     float64 // as last reported
-	UtilAgeS float64 // how long ago, +Inf for never
+// ServerEstimate is what a gateway holds of one server.
+type ServerEstimate struct {
+	Server       Server
+	InFlight     int
+	LatencyRatio float64 // latency against the mean of its class: 1 is usual
+	Suspicion    float64 // 0 to 1, of the class it is sickest for
+	Util         float64 // as last reported
+	UtilAgeS     float64 // how long ago, +Inf for never
 }
 
-// Beliefs is what a gateway holds of each server on its list, in the order of their names. It decides nothing.
-func (g *Gateway) Beliefs(now float64) (list []Belief) {
+// ServerEstimates is what a gateway holds of each server on its list, in the order of their names. It decides nothing.
+func (g *Gateway) ServerEstimates(now float64) (list []ServerEstimate) {
 	for _, s := range g.order {
-		b := Belief{Server: s.Server, InFlight: s.inflight, Speed: s.speed, Util: s.util, UtilAgeS: now - s.utilAt}
+		b := ServerEstimate{Server: s.Server, InFlight: s.inflight, LatencyRatio: s.speed, Util: s.util, UtilAgeS: now - s.utilAt}
 		for _, c := range g.classList {
-			b.Sick = max(b.Sick, g.sickness(s, c))
+			b.Suspicion = max(b.Suspicion, g.sickness(s, c))
 		}
 		list = append(list, b)
 	}
