--- a/cmd/cometpond/serve.go
+++ b/cmd/cometpond/serve.go
@@ -36,7 +36,7 @@
 			}
 			opt := instance.Options{Log: log}
 			if sabotage != "" {
-				if opt.Hooks, err = day.Sabotage(sabotage); err != nil {
+				if opt.Hooks, err = day.ViolationHooks(sabotage); err != nil {
 					return err
 				}
 				log.Warn().Str("rule", sabotage).Msg("this instance breaks a rule on purpose")
--- a/internal/day/clients.go
+++ b/internal/day/clients.go
@@ -20,27 +20,27 @@
 	"cometpond/policy"
 )
 
-// link is one client's connection to an instance. One command is out on it at a time.
-type link struct {
-	c       net.Conn
-	replies chan string
-	waiting atomic.Bool
-	extra   atomic.Int64 // answers that nobody waited for
+// clientConn is one client's connection to an instance. One command is out on it at a time.
+type clientConn struct {
+	conn         net.Conn
+	replies      chan string
+	waiting      atomic.Bool
+	extraAnswers atomic.Int64 // answers that nobody waited for
 }
 
 var errLogin = errors.New("login refused")
 
 // dial opens a connection and logs in.
-func dial(addr, client string) (*link, error) {
+func dial(addr, client string) (*clientConn, error) {
 	c, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return nil, err
 	}
-	l := &link{c: c, replies: make(chan string, 1)}
+	l := &clientConn{conn: c, replies: make(chan string, 1)}
 	go l.read()
 	over, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
-	text, err := l.ask(resp.AppendCommand(nil, "AUTH", client, daySecret), over.Done())
+	text, err := l.ask(resp.AppendCommand(nil, "AUTH", client, clientSecret), over.Done())
 	if err == nil && text != "+OK\r\n" {
 		err = errLogin
 	}
@@ -51,15 +51,15 @@
 	return l, nil
 }
 
-func (l *link) close() { l.c.Close() }
+func (cc *clientConn) close() { cc.conn.Close() }
 
 // read hands replies on; it ends with the connection.
-func (l *link) read() {
-	defer close(l.replies)
+func (cc *clientConn) read() {
+	defer close(cc.replies)
 	var buf []byte
 	chunk := make([]byte, 4096)
 	for {
-		n, err := l.c.Read(chunk)
+		n, err := cc.conn.Read(chunk)
 		if err != nil {
 			return
 		}
@@ -69,10 +69,10 @@
 			if err != nil {
 				break
 			}
-			if !l.waiting.CompareAndSwap(true, false) {
-				l.extra.Add(1)
+			if !cc.waiting.CompareAndSwap(true, false) {
+				cc.extraAnswers.Add(1)
 			} else {
-				l.replies <- string(buf[:n])
+				cc.replies <- string(buf[:n])
 			}
 			buf = buf[n:]
 		}
@@ -82,13 +82,13 @@
 var errNoAnswer = errors.New("no answer in time")
 
 // ask sends a command and returns its reply, unless over ends first.
-func (l *link) ask(command []byte, over <-chan struct{}) (string, error) {
-	l.waiting.Store(true)
-	if _, err := l.c.Write(command); err != nil {
+func (cc *clientConn) ask(command []byte, over <-chan struct{}) (string, error) {
+	cc.waiting.Store(true)
+	if _, err := cc.conn.Write(command); err != nil {
 		return "", err
 	}
 	select {
-	case r, ok := <-l.replies:
+	case r, ok := <-cc.replies:
 		if !ok {
 			return "", net.ErrClosed
 		}
@@ -98,153 +98,153 @@
 	}
 }
 
-// load is the clients of the day.
-type load struct {
-	f     *fleet
-	rpcs  []*rpcClient // one an instance, nil without that front
-	cum   []float64    // running sum of the clients' weights
-	work  sync.WaitGroup
-	limit chan struct{} // bounds requests under way
+// loadGenerator is the clients of the day.
+type loadGenerator struct {
+	fleet             *fleet
+	rpcClients        []*rpcClient // one an instance, nil without that front
+	cumulativeWeights []float64    // running sum of the clients' weights
+	pending           sync.WaitGroup
+	inFlight          chan struct{} // bounds requests under way
 
-	mu     sync.Mutex
-	rng    *rand.Rand
-	idle   map[string][]*link // by client and instance
-	tries  []audit.Try
-	factor float64 // times the usual load
-	scan   float64
-	flood  map[*client]float64 // requests a second on top
-	homes  []int
+	mu            sync.Mutex
+	rng           *rand.Rand
+	idle          map[string][]*clientConn // by client and instance
+	attempts      []audit.ClientAttempt
+	loadFactor    float64 // times the usual load
+	scanShare     float64
+	floodRates    map[*client]float64 // requests a second on top
+	homeInstances []int
 }
 
-func newLoad(f *fleet) *load {
-	l := &load{f: f, rng: rand.New(rand.NewPCG(f.s.Seed, 4)), idle: map[string][]*link{}, factor: 1, flood: map[*client]float64{},
-		limit: make(chan struct{}, 1<<14)}
-	for _, addr := range f.rpcs {
-		l.rpcs = append(l.rpcs, newRPCClient(addr))
+func newLoadGenerator(f *fleet) *loadGenerator {
+	l := &loadGenerator{fleet: f, rng: rand.New(rand.NewPCG(f.script.Seed, 4)), idle: map[string][]*clientConn{}, loadFactor: 1, floodRates: map[*client]float64{},
+		inFlight: make(chan struct{}, 1<<14)}
+	for _, addr := range f.rpcAddrs {
+		l.rpcClients = append(l.rpcClients, newRPCClient(addr))
 	}
 	sum := 0.0
 	for _, c := range f.clients {
 		sum += c.weight
-		l.cum = append(l.cum, sum)
-		l.homes = append(l.homes, c.home)
+		l.cumulativeWeights = append(l.cumulativeWeights, sum)
+		l.homeInstances = append(l.homeInstances, c.homeInstance)
 	}
 	return l
 }
 
-// pick draws a client and its instance.
-func (l *load) pick() (*client, int) {
-	x := l.rng.Float64() * l.cum[len(l.cum)-1]
+// pickClient draws a client and its instance.
+func (load *loadGenerator) pickClient() (*client, int) {
+	x := load.rng.Float64() * load.cumulativeWeights[len(load.cumulativeWeights)-1]
 	i := 0
-	for i < len(l.cum)-1 && l.cum[i] < x {
+	for i < len(load.cumulativeWeights)-1 && load.cumulativeWeights[i] < x {
 		i++
 	}
-	return l.f.clients[i], l.via(l.homes[i])
+	return load.fleet.clients[i], load.chooseInstance(load.homeInstances[i])
 }
 
-// via is the client's usual instance most times, else any.
-func (l *load) via(home int) int {
-	if l.rng.Float64() < 0.7 {
+// chooseInstance is the client's usual instance most times, else any.
+func (load *loadGenerator) chooseInstance(home int) int {
+	if load.rng.Float64() < 0.7 {
 		return home
 	}
-	return l.rng.IntN(l.f.s.Instances)
+	return load.rng.IntN(load.fleet.script.Instances)
 }
 
-// move turns a share of the clients to other instances.
-func (l *load) move(share float64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for i := range l.homes {
-		if l.rng.Float64() < share {
-			l.homes[i] = (l.homes[i] + 1) % l.f.s.Instances
+// moveClients turns a share of the clients to other instances.
+func (load *loadGenerator) moveClients(share float64) {
+	load.mu.Lock()
+	defer load.mu.Unlock()
+	for i := range load.homeInstances {
+		if load.rng.Float64() < share {
+			load.homeInstances[i] = (load.homeInstances[i] + 1) % load.fleet.script.Instances
 		}
 	}
 }
 
 // run sends requests in an open loop until ctx is over, then waits for the last answers.
-func (l *load) run(ctx context.Context) {
+func (load *loadGenerator) run(ctx context.Context) {
 	next := time.Now()
 	for n := 0; ctx.Err() == nil; n++ {
-		l.mu.Lock()
+		load.mu.Lock()
 		flood := 0.0
-		for _, r := range l.flood {
+		for _, r := range load.floodRates {
 			flood += r
 		}
-		usual := l.f.s.Rate * l.factor
-		all := usual*(1+l.scan) + flood
-		next = next.Add(time.Duration(-math.Log(1-l.rng.Float64()) / all * 1e9))
-		x := l.rng.Float64() * all
-		c, via := l.pick()
+		usual := load.fleet.script.Rate * load.loadFactor
+		all := usual*(1+load.scanShare) + flood
+		next = next.Add(time.Duration(-math.Log(1-load.rng.Float64()) / all * 1e9))
+		x := load.rng.Float64() * all
+		c, via := load.pickClient()
 		switch {
 		case x < flood:
-			for k, r := range l.flood {
+			for k, r := range load.floodRates {
 				if x -= r; x < 0 {
-					c, via = k, l.rng.IntN(l.f.s.Instances)
+					c, via = k, load.rng.IntN(load.fleet.script.Instances)
 					break
 				}
 			}
-		case x < flood+usual*l.scan:
-			c = l.f.fresh[l.rng.IntN(len(l.f.fresh))]
+		case x < flood+usual*load.scanShare:
+			c = load.fleet.newClients[load.rng.IntN(len(load.fleet.newClients))]
 		}
-		class := l.rng.Float64()
-		l.mu.Unlock()
+		class := load.rng.Float64()
+		load.mu.Unlock()
 		select {
 		case <-time.After(time.Until(next)):
 		case <-ctx.Done():
 			continue
 		}
 		select {
-		case l.limit <- struct{}{}:
+		case load.inFlight <- struct{}{}:
 		default:
 			continue // more under way than this machine can hold: the load is bounded
 		}
-		l.work.Add(1)
+		load.pending.Add(1)
 		go func() {
-			defer l.work.Done()
-			defer func() { <-l.limit }()
-			l.request(fmt.Sprintf("%s.%d", c.name, n), c, via, class)
+			defer load.pending.Done()
+			defer func() { <-load.inFlight }()
+			load.sendWithRetries(fmt.Sprintf("%s.%d", c.name, n), c, via, class)
 		}()
 	}
-	l.work.Wait()
-	for _, r := range l.rpcs {
+	load.pending.Wait()
+	for _, r := range load.rpcClients {
 		r.close()
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, list := range l.idle {
+	load.mu.Lock()
+	defer load.mu.Unlock()
+	for _, list := range load.idle {
 		for _, k := range list {
-			l.checkExtra(k)
+			load.countExtraAnswers(k)
 			k.close()
 		}
 	}
 }
 
-// jobs are the commands of the day with their share of the requests.
-var jobs = []struct {
+// commandMix are the commands of the day with their share of the requests.
+var commandMix = []struct {
 	share float64
 	name  string
 	units float64
 }{{0.05, "CL.THROTTLE", 1}, {0.50, "JOB.STATUS", 1}, {0.22, "IMAGE.FETCH", 1}, {0.18, "SIGN.SUBMIT", 2}, {0.05, "KEY.BURN", 2}}
 
-// request is one request with its client's retries: after a refusal, or when no instance was reached or the
+// sendWithRetries is one request with its client's retries: after a refusal, or when no instance was reached or the
 // connection broke; a safe one also after a failure, and an unsafe one never when it may have been taken.
 // A submission keeps its key, and is repeated no later than the boxes remember it.
-func (l *load) request(id string, c *client, via int, draw float64) {
+func (load *loadGenerator) sendWithRetries(id string, c *client, via int, draw float64) {
 	j := 0
-	for j < len(jobs)-1 && draw >= jobs[j].share {
-		draw -= jobs[j].share
+	for j < len(commandMix)-1 && draw >= commandMix[j].share {
+		draw -= commandMix[j].share
 		j++
 	}
-	job := jobs[j]
+	job := commandMix[j]
 	class := policy.Class{Name: "limit", DeadlineS: 2.5}
-	for _, k := range l.f.cfg.Commands {
+	for _, k := range load.fleet.config.Commands {
 		if k.Name == job.name {
-			class = l.f.cfg.Classes[k.Class]
+			class = load.fleet.config.Classes[k.Class]
 		}
 	}
 	began := time.Now()
 	for n := range 3 {
 		if n > 0 {
-			pause := 100*time.Millisecond + time.Duration(l.float()*200e6)
+			pause := 100*time.Millisecond + time.Duration(load.randomFloat()*200e6)
 			time.Sleep(pause)
 			limit := class.DeadlineS
 			if class.Effect == policy.Keyed {
@@ -253,16 +253,16 @@
 			if time.Since(began).Seconds() > limit {
 				return
 			}
-			if l.float() < 0.5 {
-				via = int(l.float() * float64(l.f.s.Instances))
+			if load.randomFloat() < 0.5 {
+				via = int(load.randomFloat() * float64(load.fleet.script.Instances))
 			}
 		}
-		t := l.try(fmt.Sprintf("%s.%d", id, n), id, c, via, job.name, job.units, class)
+		t := load.sendAttempt(fmt.Sprintf("%s.%d", id, n), id, c, via, job.name, job.units, class)
 		again := false
-		switch t.End {
-		case audit.Refused, audit.Unreached:
+		switch t.Outcome {
+		case audit.Refused, audit.NotConnected:
 			again = true
-		case audit.Broken:
+		case audit.ConnectionLost:
 			again = class.Effect != policy.Unsafe
 		case audit.Failed:
 			again = class.Effect == policy.Safe
@@ -273,16 +273,16 @@
 	}
 }
 
-func (l *load) float() float64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.rng.Float64()
+func (load *loadGenerator) randomFloat() float64 {
+	load.mu.Lock()
+	defer load.mu.Unlock()
+	return load.rng.Float64()
 }
 
-// try sends one command and keeps what became of it.
-func (l *load) try(id, request string, c *client, via int, name string, units float64, class policy.Class) audit.Try {
-	t := audit.Try{ID: id, Client: c.name, Class: class.Name, Instance: via, Units: units, SentAt: time.Now()}
-	blob := blobs[:l.size()]
+// sendAttempt sends one command and keeps what became of it.
+func (load *loadGenerator) sendAttempt(id, request string, c *client, via int, name string, units float64, class policy.Class) audit.ClientAttempt {
+	t := audit.ClientAttempt{ID: id, Client: c.name, Class: class.Name, Instance: via, Units: units, SentAt: time.Now()}
+	blob := payload[:load.argumentSize()]
 	words := []string{name, id, c.name, blob}
 	switch {
 	case class.Name == "limit":
@@ -292,24 +292,24 @@
 		words = []string{name, request, c.name, id, blob}
 	}
 	within := time.Duration(class.DeadlineS*1e9) + time.Second
-	if l.overRPC(id) {
-		over, stop := l.f.patience(via, within)
-		t.End, t.Wrong = l.rpcs[via].ask(c.name, words, class.Name == "limit", over)
+	if load.usesRPC(id) {
+		over, stop := load.fleet.answerTimeout(via, within)
+		t.Outcome, t.WrongAnswer = load.rpcClients[via].ask(c.name, words, class.Name == "limit", over)
 		stop()
-		t.EndAt = time.Now()
+		t.EndedAt = time.Now()
 	} else {
-		l.overRESP(&t, c, via, words, within)
+		load.sendRESP(&t, c, via, words, within)
 	}
-	if t.End == audit.Broken || t.End == audit.Unanswered {
-		t.Excused = l.f.excused(via, t.SentAt, t.EndAt)
+	if t.Outcome == audit.ConnectionLost || t.Outcome == audit.Unanswered {
+		t.Excused = load.fleet.wasDown(via, t.SentAt, t.EndedAt)
 	}
-	l.keep(t)
+	load.record(t)
 	return t
 }
 
-// overRPC tells which front a try goes through: with both, half of them each.
-func (l *load) overRPC(id string) bool {
-	switch l.f.opt.Front {
+// usesRPC tells which front a try goes through: with both, half of them each.
+func (load *loadGenerator) usesRPC(id string) bool {
+	switch load.fleet.options.Front {
 	case "grpc":
 		return true
 	case "both":
@@ -318,16 +318,16 @@
 	return false
 }
 
-// blobs is what arguments and replies of any size are made of.
-var blobs = strings.Repeat("0123456789abcdef\r\n*1\r\n$4\r\nPING\r\n", 400<<10/32)[:400<<10]
+// payload is what arguments and replies of any size are made of.
+var payload = strings.Repeat("0123456789abcdef\r\n*1\r\n$4\r\nPING\r\n", 400<<10/32)[:400<<10]
 
-// size draws the bytes of an argument: most are small, some are large.
-func (l *load) size() int {
-	x := l.float()
+// argumentSize draws the bytes of an argument: most are small, some are large.
+func (load *loadGenerator) argumentSize() int {
+	x := load.randomFloat()
 	if x < 0.9 {
 		return int(x * 200)
 	}
-	return int(math.Exp((x - 0.9) * 10 * math.Log(float64(len(blobs)))))
+	return int(math.Exp((x - 0.9) * 10 * math.Log(float64(len(payload)))))
 }
 
 // isAnswer tells whether a text is a box's answer to a command. To a repeat of a key it answers what it did first,
@@ -340,57 +340,57 @@
 	return text == head+words[3]
 }
 
-// overRESP sends a try's command and reads its answer.
-func (l *load) overRESP(t *audit.Try, c *client, via int, words []string, within time.Duration) {
-	k, err := l.take(c, via)
+// sendRESP sends a try's command and reads its answer.
+func (load *loadGenerator) sendRESP(t *audit.ClientAttempt, c *client, via int, words []string, within time.Duration) {
+	k, err := load.takeConn(c, via)
 	if err != nil {
-		t.End, t.EndAt = audit.Unreached, time.Now()
+		t.Outcome, t.EndedAt = audit.NotConnected, time.Now()
 		return
 	}
 	t.SentAt = time.Now()
-	over, stop := l.f.patience(via, within)
+	over, stop := load.fleet.answerTimeout(via, within)
 	reply, err := k.ask(resp.AppendCommand(nil, words...), over)
 	stop()
-	t.EndAt = time.Now()
+	t.EndedAt = time.Now()
 	switch {
 	case errors.Is(err, errNoAnswer):
-		t.End = audit.Unanswered
+		t.Outcome = audit.Unanswered
 	case err != nil:
-		t.End = audit.Broken
+		t.Outcome = audit.ConnectionLost
 	case strings.HasPrefix(reply, "-REFUSED"):
-		t.End = audit.Refused
+		t.Outcome = audit.Refused
 	case strings.HasPrefix(reply, "-"):
-		t.End = audit.Failed
+		t.Outcome = audit.Failed
 	case t.Class == "limit" && strings.HasPrefix(reply, "*5\r\n:0"):
-		t.End = audit.Admitted
+		t.Outcome = audit.Admitted
 	case t.Class == "limit":
-		t.End = audit.Limited
+		t.Outcome = audit.Limited
 	default:
-		t.End = audit.Served
+		t.Outcome = audit.Served
 		n, _ := resp.Reply([]byte(reply), resp.DefaultLimits)
-		t.Wrong = n != len(reply) || !isAnswer(resp.Text([]byte(reply), resp.DefaultLimits), words, t.Key != "")
+		t.WrongAnswer = n != len(reply) || !isAnswer(resp.Text([]byte(reply), resp.DefaultLimits), words, t.Key != "")
 	}
 	if err != nil {
 		k.close()
 		return
 	}
-	t.Extra = int(k.extra.Swap(0))
-	l.give(c, via, k)
+	t.ExtraAnswers = int(k.extraAnswers.Swap(0))
+	load.returnConn(c, via, k)
 }
 
-func (l *load) keep(t audit.Try) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.tries = append(l.tries, t)
+func (load *loadGenerator) record(t audit.ClientAttempt) {
+	load.mu.Lock()
+	defer load.mu.Unlock()
+	load.attempts = append(load.attempts, t)
 }
 
-// take returns an idle connection of the client to the instance, or a new one.
-func (l *load) take(c *client, via int) (*link, error) {
+// takeConn returns an idle connection of the client to the instance, or a new one.
+func (load *loadGenerator) takeConn(c *client, via int) (*clientConn, error) {
 	key := c.name + "/" + strconv.Itoa(via)
-	l.mu.Lock()
-	for list := l.idle[key]; len(list) > 0; list = l.idle[key] {
+	load.mu.Lock()
+	for list := load.idle[key]; len(list) > 0; list = load.idle[key] {
 		k := list[len(list)-1]
-		l.idle[key] = list[:len(list)-1]
+		load.idle[key] = list[:len(list)-1]
 		select {
 		case _, ok := <-k.replies:
 			if !ok { // ended while it was idle
@@ -399,23 +399,23 @@
 			}
 		default:
 		}
-		l.mu.Unlock()
+		load.mu.Unlock()
 		return k, nil
 	}
-	l.mu.Unlock()
-	return dial(l.f.fronts[via].Addr(), c.name)
+	load.mu.Unlock()
+	return dial(load.fleet.ingressStreams[via].Addr(), c.name)
 }
 
-func (l *load) give(c *client, via int, k *link) {
+func (load *loadGenerator) returnConn(c *client, via int, k *clientConn) {
 	key := c.name + "/" + strconv.Itoa(via)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.idle[key] = append(l.idle[key], k)
+	load.mu.Lock()
+	defer load.mu.Unlock()
+	load.idle[key] = append(load.idle[key], k)
 }
 
-// checkExtra charges answers that came on an idle connection to the last try.
-func (l *load) checkExtra(k *link) {
-	if n := k.extra.Load(); n > 0 && len(l.tries) > 0 {
-		l.tries[len(l.tries)-1].Extra += int(n)
+// countExtraAnswers charges answers that came on an idle connection to the last try.
+func (load *loadGenerator) countExtraAnswers(k *clientConn) {
+	if n := k.extraAnswers.Load(); n > 0 && len(load.attempts) > 0 {
+		load.attempts[len(load.attempts)-1].ExtraAnswers += int(n)
 	}
 }
--- a/internal/day/fleet.go
+++ b/internal/day/fleet.go
@@ -24,44 +24,44 @@
 
 // client is a customer of the day.
 type client struct {
-	name, plan string
-	weight     float64 // share of the load
-	home       int     // the instance that it uses most
+	name, plan   string
+	weight       float64 // share of the load
+	homeInstance int     // the instance that it uses most
 }
 
-const daySecret = "day-secret"
+const clientSecret = "day-secret"
 
 // fleet is everything that runs on the day.
 type fleet struct {
-	s       *Script
-	opt     Options
-	dir     string
-	cfg     *config.Config // of instance 0: classes, plans and commands are the same for all
-	clients []*client
-	fresh   []*client // customers that a scan brings
-	eds     *standin.EDS
-	relay   *standin.Relay
-	fronts  []*standin.Stream // in front of each instance's RESP port
-	backs   []*standin.Stream // in front of each box
-	boxes   []*standin.Box
-	list    []policy.Server
-	files   []string
-	listen  []string // where instances listen
-	rpcs    []string // addresses of the gRPC front, none without it
-
-	mu       sync.Mutex
-	procs    []*process
-	arrivals []audit.Arrival
-	falls    []audit.Fall
-	killed   [][]span // by instance
-	stalls   []audit.Stall
-	heavy    float64
-	restarts []audit.Notice
-	rng      *rand.Rand
+	script         *Script
+	options        Options
+	dir            string
+	config         *config.Config // of instance 0: classes, plans and commands are the same for all
+	clients        []*client
+	newClients     []*client // customers that a scan brings
+	eds            *standin.EDS
+	relay          *standin.Relay
+	ingressStreams []*standin.Stream // in front of each instance's RESP port
+	serverStreams  []*standin.Stream // in front of each box
+	servers        []*standin.Box
+	serverList     []policy.Server
+	settingsFiles  []string
+	listenAddrs    []string // where instances listen
+	rpcAddrs       []string // addresses of the gRPC front, none without it
+
+	mu          sync.Mutex
+	processes   []*process
+	arrivals    []audit.Arrival
+	overloads   []audit.Overload
+	outages     [][]outage // by instance
+	pauses      []audit.Pause
+	heavyFactor float64
+	restarts    []audit.Acknowledgement
+	rng         *rand.Rand
 }
 
-// span is a time in which an instance was down, and a little more.
-type span struct{ from, to time.Time }
+// outage is a time in which an instance was down, and a little more.
+type outage struct{ from, to time.Time }
 
 type process struct {
 	cmd  *exec.Cmd
@@ -74,7 +74,7 @@
 
 func init() { nextPort.Store(int64(12000 + os.Getpid()*7%18000)) }
 
-func takePort(network string) (string, error) {
+func reservePort(network string) (string, error) {
 	for port := nextPort.Add(1); port < 32000; port = nextPort.Add(1) {
 		a := fmt.Sprintf("127.0.0.1:%d", port)
 		if network == "udp" {
@@ -92,8 +92,8 @@
 
 // newFleet sets up the outside of the instances and writes their settings.
 func newFleet(s *Script, opt Options) (_ *fleet, err error) {
-	f := &fleet{s: s, opt: opt, rng: rand.New(rand.NewPCG(s.Seed, 3)),
-		killed: make([][]span, s.Instances), procs: make([]*process, s.Instances), heavy: 1}
+	f := &fleet{script: s, options: opt, rng: rand.New(rand.NewPCG(s.Seed, 3)),
+		outages: make([][]outage, s.Instances), processes: make([]*process, s.Instances), heavyFactor: 1}
 	defer func() {
 		if err != nil {
 			f.close()
@@ -103,7 +103,7 @@
 		return nil, fmt.Errorf("day: %w", err)
 	}
 	f.makeClients()
-	if err := f.settle(); err != nil {
+	if err := f.startStandIns(); err != nil {
 		return nil, err
 	}
 	return f, nil
@@ -111,97 +111,97 @@
 
 // makeClients draws the customers: many on a small plan, some on a large one, a few of them asking for more
 // than they have.
-func (f *fleet) makeClients() {
-	basic, premium := max(6, int(f.s.Rate*0.55)), max(2, int(f.s.Rate*0.045))
+func (fl *fleet) makeClients() {
+	basic, premium := max(6, int(fl.script.Rate*0.55)), max(2, int(fl.script.Rate*0.045))
 	add := func(n int, plan string, share float64) {
 		var sum float64
-		from := len(f.clients)
+		from := len(fl.clients)
 		for i := range n {
-			w := 0.5 + f.rng.Float64()
+			w := 0.5 + fl.rng.Float64()
 			if i%10 == 9 {
 				w *= 2.5
 			}
 			sum += w
-			f.clients = append(f.clients, &client{name: fmt.Sprintf("%s-%d", plan, i), plan: plan, weight: w, home: f.rng.IntN(f.s.Instances)})
+			fl.clients = append(fl.clients, &client{name: fmt.Sprintf("%s-%d", plan, i), plan: plan, weight: w, homeInstance: fl.rng.IntN(fl.script.Instances)})
 		}
-		for _, c := range f.clients[from:] {
+		for _, c := range fl.clients[from:] {
 			c.weight *= share / sum
 		}
 	}
 	add(basic, "basic", 0.63)
 	add(premium, "premium", 0.37)
 	for i := range 500 {
-		f.fresh = append(f.fresh, &client{name: fmt.Sprintf("new-%d", i), plan: "basic", home: i % f.s.Instances})
+		fl.newClients = append(fl.newClients, &client{name: fmt.Sprintf("new-%d", i), plan: "basic", homeInstance: i % fl.script.Instances})
 	}
 }
 
-// settle opens the ports, starts the stand-ins and writes a settings file for each instance.
-func (f *fleet) settle() error {
+// startStandIns opens the ports, starts the stand-ins and writes a settings file for each instance.
+func (fl *fleet) startStandIns() error {
 	var peers []string
-	for range f.s.Instances {
-		a, err := takePort("tcp")
+	for range fl.script.Instances {
+		a, err := reservePort("tcp")
 		if err != nil {
 			return err
 		}
-		p, err := takePort("udp")
+		p, err := reservePort("udp")
 		if err != nil {
 			return err
 		}
-		f.listen, peers = append(f.listen, a), append(peers, p)
-		r, err := standin.NewStream("127.0.0.1:0", a, f.s.Seed+uint64(len(f.fronts)))
+		fl.listenAddrs, peers = append(fl.listenAddrs, a), append(peers, p)
+		r, err := standin.NewStream("127.0.0.1:0", a, fl.script.Seed+uint64(len(fl.ingressStreams)))
 		if err != nil {
 			return err
 		}
-		f.fronts = append(f.fronts, r)
-		if f.opt.Front == "grpc" || f.opt.Front == "both" {
-			g, err := takePort("tcp")
+		fl.ingressStreams = append(fl.ingressStreams, r)
+		if fl.options.Front == "grpc" || fl.options.Front == "both" {
+			g, err := reservePort("tcp")
 			if err != nil {
 				return err
 			}
-			f.rpcs = append(f.rpcs, g)
+			fl.rpcAddrs = append(fl.rpcAddrs, g)
 		}
 	}
 	var err error
-	if f.relay, err = standin.NewRelay(peers, f.s.Seed); err != nil {
+	if fl.relay, err = standin.NewRelay(peers, fl.script.Seed); err != nil {
 		return err
 	}
-	if f.cfg, err = config.Parse("day", f.settings(0, peers, "127.0.0.1:1")); err != nil {
+	if fl.config, err = config.Parse("day", fl.settings(0, peers, "127.0.0.1:1")); err != nil {
 		return err
 	}
-	if err := f.startBoxes(); err != nil {
+	if err := fl.startServers(); err != nil {
 		return err
 	}
-	if f.eds, err = standin.NewEDS("127.0.0.1:0", "boxes", f.list); err != nil {
+	if fl.eds, err = standin.NewEDS("127.0.0.1:0", "boxes", fl.serverList); err != nil {
 		return err
 	}
-	for i := range f.s.Instances {
-		path := filepath.Join(f.dir, fmt.Sprintf("instance-%d.sexp", i))
-		if err := os.WriteFile(path, []byte(f.settings(i, peers, f.eds.Addr())), 0o600); err != nil {
+	for i := range fl.script.Instances {
+		path := filepath.Join(fl.dir, fmt.Sprintf("instance-%d.sexp", i))
+		if err := os.WriteFile(path, []byte(fl.settings(i, peers, fl.eds.Addr())), 0o600); err != nil {
 			return fmt.Errorf("day: %w", err)
 		}
 		if _, err := config.Load(path); err != nil {
 			return err
 		}
-		f.files = append(f.files, path)
+		fl.settingsFiles = append(fl.settingsFiles, path)
 	}
 	return nil
 }
 
 // settings is the file of one instance.
-func (f *fleet) settings(me int, peers []string, eds string) string {
+func (fl *fleet) settings(me int, peers []string, eds string) string {
 	var b strings.Builder
 	p := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
-	p(`(ingress (me %d) (zone room-%d) (listen %q) (drain 5s))`, me, me%f.s.Rooms, f.listen[me])
-	p(`(instances (key "%x")`, sha256.Sum256([]byte(fmt.Sprint("day", f.s.Seed))))
+	p(`(ingress (me %d) (zone room-%d) (listen %q) (drain 5s))`, me, me%fl.script.Zones, fl.listenAddrs[me])
+	p(`(instances (key "%x")`, sha256.Sum256([]byte(fmt.Sprint("day", fl.script.Seed))))
 	for i := range peers {
 		a := peers[me]
 		if i != me {
-			a = f.relay.Addr(me, i)
+			a = fl.relay.Addr(me, i)
 		}
 		p(`  (instance %d %q)`, i, a)
 	}
 	p(`)`)
-	p(`(discovery (server %q) (cluster boxes) (keep %q))`, eds, filepath.Join(f.dir, fmt.Sprintf("list-%d.json", me)))
+	p(`(discovery (server %q) (cluster boxes) (keep %q))`, eds, filepath.Join(fl.dir, fmt.Sprintf("list-%d.json", me)))
 	p(`(classes
   (class job-status  (aim 1s)   (deadline 2.5s) (worth 3) (late-worth 0.2) (effect safe))
   (class image-fetch (aim 2.5s) (deadline 6s)   (worth 1) (late-worth 0.2) (effect safe))
@@ -217,13 +217,13 @@
   (plan basic   (rate 2.6) (burst 9) (price 1.1))
   (plan premium (rate 18) (burst 36) (price 1.8) (excess-cost 0.6) (ceiling (rate 36) (burst 72) (slack 7.2))))
 (rules (answer-slack 10ms) (cold-from 0.3) (cold 10s) (fall-multiple 2) (fall 1.5s))`)
-	sum := config.HashSecret(daySecret)
-	if len(f.rpcs) > 0 {
+	sum := config.HashSecret(clientSecret)
+	if len(fl.rpcAddrs) > 0 {
 		p(`(grpc (listen %q) (streams 10000)
-  (domain day (secret-sha256 "%x") (unmatched refuse) (descriptor (customer client) (class job-status))))`, f.rpcs[me], sum)
+  (domain day (secret-sha256 "%x") (unmatched refuse) (descriptor (customer client) (class job-status))))`, fl.rpcAddrs[me], sum)
 	}
 	p(`(clients`)
-	for _, list := range [][]*client{f.clients, f.fresh} {
+	for _, list := range [][]*client{fl.clients, fl.newClients} {
 		for _, c := range list {
 			p(`  (client %s (plan %s) (secret-sha256 "%x"))`, c.name, c.plan, sum)
 		}
@@ -232,110 +232,110 @@
 	return b.String()
 }
 
-// work is the mean work of each command, seconds of a core of speed 1; the boxes' speed goes with the load,
+// meanWorkS is the mean work of each command, seconds of a core of speed 1; the boxes' speed goes with the load,
 // so that a usual moment keeps them about 60% busy at any rate.
-var work = map[string]float64{"JOB.STATUS": 0.045, "IMAGE.FETCH": 0.09, "SIGN.SUBMIT": 0.15, "KEY.BURN": 0.06}
+var meanWorkS = map[string]float64{"JOB.STATUS": 0.045, "IMAGE.FETCH": 0.09, "SIGN.SUBMIT": 0.15, "KEY.BURN": 0.06}
 
-func (f *fleet) startBoxes() error {
+func (fl *fleet) startServers() error {
 	p := standin.DefaultParams
-	p.Speed = max(0.3, f.s.Rate/300*12/float64(f.s.Boxes))
-	jobs := standin.Jobs(f.cfg, 1)
+	p.Speed = max(0.3, fl.script.Rate/300*12/float64(fl.script.Servers))
+	jobs := standin.Jobs(fl.config, 1)
 	for name, j := range jobs {
-		j.Work, j.Echo = work[name], 3
+		j.Work, j.Echo = meanWorkS[name], 3
 		if j.KeyAt > 0 {
 			j.Echo = 4
 		}
 		jobs[name] = j
 	}
-	memory := make([]*standin.Memory, f.s.Rooms)
+	memory := make([]*standin.Memory, fl.script.Zones)
 	for i := range memory {
 		memory[i] = standin.NewMemory()
 	}
-	for i := range f.s.Boxes {
-		room := i % f.s.Rooms
-		a, err := takePort("tcp")
+	for i := range fl.script.Servers {
+		room := i % fl.script.Zones
+		a, err := reservePort("tcp")
 		if err != nil {
 			return err
 		}
-		listed, err := takePort("tcp")
+		listed, err := reservePort("tcp")
 		if err != nil {
 			return err
 		}
-		r, err := standin.NewStream(listed, a, f.s.Seed+100+uint64(i))
+		r, err := standin.NewStream(listed, a, fl.script.Seed+100+uint64(i))
 		if err != nil {
 			return err
 		}
-		f.backs = append(f.backs, r)
-		b, err := standin.NewBox(a, standin.BoxOptions{Name: listed, Params: p, Jobs: jobs, Seed: f.s.Seed + uint64(i), Memory: memory[room],
-			Saw: f.saw, Extra: f.extra})
+		fl.serverStreams = append(fl.serverStreams, r)
+		b, err := standin.NewBox(a, standin.BoxOptions{Name: listed, Params: p, Jobs: jobs, Seed: fl.script.Seed + uint64(i), Memory: memory[room],
+			Saw: fl.recordArrival, Extra: fl.workFactor})
 		if err != nil {
 			return err
 		}
-		f.boxes = append(f.boxes, b)
-		f.list = append(f.list, policy.Server{ID: listed, Zone: fmt.Sprintf("room-%d", room), Cell: i / f.s.Rooms / 2, Weight: 1})
+		fl.servers = append(fl.servers, b)
+		fl.serverList = append(fl.serverList, policy.Server{ID: listed, Zone: fmt.Sprintf("room-%d", room), Cell: i / fl.script.Zones / 2, Weight: 1})
 	}
 	return nil
 }
 
-// down takes a box from the network, and up brings it back cold.
-func (f *fleet) down(i int) {
-	f.backs[i].Down()
-	f.boxes[i].Down()
+// takeDown takes a box from the network, and up brings it back cold.
+func (fl *fleet) takeDown(i int) {
+	fl.serverStreams[i].Down()
+	fl.servers[i].Down()
 }
 
-func (f *fleet) up(i int) error {
-	if err := f.boxes[i].Up(); err != nil {
+func (fl *fleet) bringUp(i int) error {
+	if err := fl.servers[i].Up(); err != nil {
 		return err
 	}
-	return f.backs[i].Up()
+	return fl.serverStreams[i].Up()
 }
 
-// sever breaks all connections of an instance's clients; what was out on them is excused.
-func (f *fleet) sever(i int) {
-	f.mu.Lock()
-	f.killed[i] = append(f.killed[i], span{from: time.Now().Add(-100 * time.Millisecond), to: time.Now().Add(100 * time.Millisecond)})
-	f.mu.Unlock()
-	f.fronts[i].Sever()
+// resetClients breaks all connections of an instance's clients; what was out on them is excused.
+func (fl *fleet) resetClients(i int) {
+	fl.mu.Lock()
+	fl.outages[i] = append(fl.outages[i], outage{from: time.Now().Add(-100 * time.Millisecond), to: time.Now().Add(100 * time.Millisecond)})
+	fl.mu.Unlock()
+	fl.ingressStreams[i].Sever()
 }
 
-// extra makes one request in fifty heavy while the script says so.
-func (f *fleet) extra(n uint64) float64 {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// workFactor makes one request in fifty heavy while the script says so.
+func (fl *fleet) workFactor(n uint64) float64 {
+	fl.mu.Lock()
+	defer fl.mu.Unlock()
 	if n%50 == 0 {
-		return f.heavy
+		return fl.heavyFactor
 	}
 	return 1
 }
 
-// saw keeps what a box saw. The words are: command, id or key, client, and for keyed ones the try's id.
-func (f *fleet) saw(a standin.Arrival) {
-	r := audit.Arrival{At: a.At, Box: a.Box, Instance: a.Instance, Executed: a.Executed, Try: a.Words[1]}
-	for _, c := range f.cfg.Commands {
+// recordArrival keeps what a box saw. The words are: command, id or key, client, and for keyed ones the try's id.
+func (fl *fleet) recordArrival(a standin.Arrival) {
+	r := audit.Arrival{At: a.At, Server: a.Box, Instance: a.Instance, Executed: a.Executed, AttemptID: a.Words[1]}
+	for _, c := range fl.config.Commands {
 		if c.Name == a.Words[0] {
-			r.Class = f.cfg.Classes[c.Class].Name
+			r.Class = fl.config.Classes[c.Class].Name
 			if r.Client = a.Words[2]; c.KeyAt > 0 {
-				r.Key, r.Try = a.Words[1], a.Words[3]
+				r.Key, r.AttemptID = a.Words[1], a.Words[3]
 			}
 		}
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.arrivals = append(f.arrivals, r)
+	fl.mu.Lock()
+	defer fl.mu.Unlock()
+	fl.arrivals = append(fl.arrivals, r)
 	if a.Ruling == standin.Fell {
-		for _, o := range f.falls {
-			if o.Box == a.Box {
+		for _, o := range fl.overloads {
+			if o.Server == a.Box {
 				return
 			}
 		}
-		f.falls = append(f.falls, audit.Fall{At: a.At, Box: a.Box})
+		fl.overloads = append(fl.overloads, audit.Overload{At: a.At, Server: a.Box})
 	}
 }
 
 // start starts an instance's process.
-func (f *fleet) start(i int) error {
-	cmd := f.opt.Serve(f.files[i])
-	cmd.Stdout, cmd.Stderr = f.opt.Output, f.opt.Output
+func (fl *fleet) start(i int) error {
+	cmd := fl.options.Serve(fl.settingsFiles[i])
+	cmd.Stdout, cmd.Stderr = fl.options.Output, fl.options.Output
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // nothing is left behind if the day itself is killed
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("instance %d: %w", i, err)
@@ -345,16 +345,16 @@
 		defer close(p.done)
 		_ = cmd.Wait() // how it ended shows on the sockets
 	}()
-	f.mu.Lock()
-	f.procs[i] = p
-	f.mu.Unlock()
+	fl.mu.Lock()
+	fl.processes[i] = p
+	fl.mu.Unlock()
 	return nil
 }
 
-// ready waits until an instance lets a client in.
-func (f *fleet) ready(ctx context.Context, i int) error {
+// awaitReady waits until an instance lets a client in.
+func (fl *fleet) awaitReady(ctx context.Context, i int) error {
 	for ctx.Err() == nil {
-		if c, err := dial(f.listen[i], f.clients[0].name); err == nil {
+		if c, err := dial(fl.listenAddrs[i], fl.clients[0].name); err == nil {
 			c.close()
 			return nil
 		}
@@ -364,11 +364,11 @@
 }
 
 // kill ends an instance outright, and restarts it after a while.
-func (f *fleet) kill(ctx context.Context, i int, down time.Duration) error {
-	f.mu.Lock()
-	p := f.procs[i]
-	f.killed[i] = append(f.killed[i], span{from: time.Now().Add(-100 * time.Millisecond), to: time.Now().Add(time.Hour)})
-	f.mu.Unlock()
+func (fl *fleet) kill(ctx context.Context, i int, down time.Duration) error {
+	fl.mu.Lock()
+	p := fl.processes[i]
+	fl.outages[i] = append(fl.outages[i], outage{from: time.Now().Add(-100 * time.Millisecond), to: time.Now().Add(time.Hour)})
+	fl.mu.Unlock()
 	_ = p.cmd.Process.Kill() // it may have ended already
 	<-p.done
 	select {
@@ -376,28 +376,28 @@
 	case <-ctx.Done():
 		return nil
 	}
-	f.mu.Lock()
-	f.restarts = append(f.restarts, audit.Notice{At: time.Now(), Instance: fmt.Sprintf("cometpond-%d", i), Restart: true})
-	f.mu.Unlock()
-	if err := f.start(i); err != nil {
+	fl.mu.Lock()
+	fl.restarts = append(fl.restarts, audit.Acknowledgement{At: time.Now(), Instance: fmt.Sprintf("cometpond-%d", i), Restarted: true})
+	fl.mu.Unlock()
+	if err := fl.start(i); err != nil {
 		return err
 	}
 	up, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
-	if err := f.ready(up, i); err != nil && ctx.Err() == nil {
+	if err := fl.awaitReady(up, i); err != nil && ctx.Err() == nil {
 		return err
 	}
-	f.mu.Lock()
-	f.killed[i][len(f.killed[i])-1].to = time.Now()
-	f.mu.Unlock()
+	fl.mu.Lock()
+	fl.outages[i][len(fl.outages[i])-1].to = time.Now()
+	fl.mu.Unlock()
 	return nil
 }
 
-// excused tells whether an instance was down at some time between two.
-func (f *fleet) excused(i int, from, to time.Time) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, s := range f.killed[i] {
+// wasDown tells whether an instance was down at some time between two.
+func (fl *fleet) wasDown(i int, from, to time.Time) bool {
+	fl.mu.Lock()
+	defer fl.mu.Unlock()
+	for _, s := range fl.outages[i] {
 		if from.Before(s.to) && to.After(s.from) {
 			return true
 		}
@@ -405,31 +405,31 @@
 	return false
 }
 
-// during keeps something up for a while and notes the stalls that it means.
-func (f *fleet) during(ctx context.Context, d time.Duration, stalls []audit.Stall, change func(on bool)) {
-	f.mu.Lock()
-	from := len(f.stalls)
+// recordPausesDuring keeps something up for a while and notes the stalls that it means.
+func (fl *fleet) recordPausesDuring(ctx context.Context, d time.Duration, stalls []audit.Pause, change func(on bool)) {
+	fl.mu.Lock()
+	from := len(fl.pauses)
 	for _, s := range stalls {
 		s.From, s.To = time.Now(), time.Now().Add(time.Hour)
-		f.stalls = append(f.stalls, s)
+		fl.pauses = append(fl.pauses, s)
 	}
-	f.mu.Unlock()
+	fl.mu.Unlock()
 	change(true)
-	pause(ctx, d)
+	sleep(ctx, d)
 	change(false)
-	f.mu.Lock()
+	fl.mu.Lock()
 	for i := range stalls {
-		f.stalls[from+i].To = time.Now()
+		fl.pauses[from+i].To = time.Now()
 	}
-	f.mu.Unlock()
+	fl.mu.Unlock()
 }
 
-// stall has an instance stand still for a while.
-func (f *fleet) stall(ctx context.Context, i int, d time.Duration) {
-	f.mu.Lock()
-	p := f.procs[i]
-	f.mu.Unlock()
-	f.during(ctx, d, []audit.Stall{{Instance: i}}, func(on bool) {
+// pauseInstance has an instance stand still for a while.
+func (fl *fleet) pauseInstance(ctx context.Context, i int, d time.Duration) {
+	fl.mu.Lock()
+	p := fl.processes[i]
+	fl.mu.Unlock()
+	fl.recordPausesDuring(ctx, d, []audit.Pause{{Instance: i}}, func(on bool) {
 		signal := syscall.SIGCONT
 		if on {
 			signal = syscall.SIGSTOP
@@ -438,45 +438,45 @@
 	})
 }
 
-// wires has the wires in front of instances or boxes carry less, or nothing, for a while. To clients an instance
+// disturbStreams has the wires in front of instances or boxes carry less, or nothing, for a while. To clients an instance
 // behind one seems to stand still.
-func (f *fleet) wires(ctx context.Context, instances, boxes []int, d time.Duration, change func(r *standin.Stream, on bool)) {
+func (fl *fleet) disturbStreams(ctx context.Context, instances, boxes []int, d time.Duration, change func(r *standin.Stream, on bool)) {
 	var list []*standin.Stream
-	var stalls []audit.Stall
+	var stalls []audit.Pause
 	for _, i := range instances {
-		list = append(list, f.fronts[i])
-		stalls = append(stalls, audit.Stall{Instance: i, Wire: true})
+		list = append(list, fl.ingressStreams[i])
+		stalls = append(stalls, audit.Pause{Instance: i, Network: true})
 	}
 	for _, i := range boxes {
-		list = append(list, f.backs[i])
-		stalls = append(stalls, audit.Stall{Box: f.backs[i].Addr(), Wire: true})
+		list = append(list, fl.serverStreams[i])
+		stalls = append(stalls, audit.Pause{Server: fl.serverStreams[i].Addr(), Network: true})
 	}
-	f.during(ctx, d, stalls, func(on bool) {
+	fl.recordPausesDuring(ctx, d, stalls, func(on bool) {
 		for _, r := range list {
 			change(r, on)
 		}
 	})
 }
 
-// standing tells whether an instance stands still, or did a moment ago.
-func (f *fleet) standing(i int) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, s := range f.stalls {
-		if s.Box == "" && s.Instance == i && time.Since(s.To) < time.Second {
+// recentlyPaused tells whether an instance stands still, or did a moment ago.
+func (fl *fleet) recentlyPaused(i int) bool {
+	fl.mu.Lock()
+	defer fl.mu.Unlock()
+	for _, s := range fl.pauses {
+		if s.Server == "" && s.Instance == i && time.Since(s.To) < time.Second {
 			return true
 		}
 	}
 	return false
 }
 
-// patience is over after a while, or a second after its instance went on if that stood still meanwhile.
-func (f *fleet) patience(i int, within time.Duration) (over <-chan struct{}, stop func()) {
+// answerTimeout is over after a while, or a second after its instance went on if that stood still meanwhile.
+func (fl *fleet) answerTimeout(i int, within time.Duration) (over <-chan struct{}, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var check func()
 	t := time.AfterFunc(within, func() { check() })
 	check = func() {
-		if f.standing(i) {
+		if fl.recentlyPaused(i) {
 			t.Reset(50 * time.Millisecond)
 		} else {
 			cancel()
@@ -485,17 +485,17 @@
 	return ctx.Done(), func() { t.Stop(); cancel() }
 }
 
-// push tells discovery of the list as it stands now.
-func (f *fleet) push(change func(list []policy.Server)) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	change(f.list)
-	f.eds.Set(f.list)
+// updateServerList tells discovery of the list as it stands now.
+func (fl *fleet) updateServerList(change func(list []policy.Server)) {
+	fl.mu.Lock()
+	defer fl.mu.Unlock()
+	change(fl.serverList)
+	fl.eds.Set(fl.serverList)
 }
 
-// told is what the discovery server offered, and saw the instances acknowledge.
-func (f *fleet) told() (pushes []audit.Push, notices []audit.Notice) {
-	lists, at := f.eds.Pushed()
+// listHistory is what the discovery server offered, and saw the instances acknowledge.
+func (fl *fleet) listHistory() (pushes []audit.Push, notices []audit.Acknowledgement) {
+	lists, at := fl.eds.Pushed()
 	for i, list := range lists {
 		p := audit.Push{At: at[i], Up: map[string]bool{}}
 		for _, s := range list {
@@ -503,20 +503,20 @@
 		}
 		pushes = append(pushes, p)
 	}
-	notices = append(notices, f.restarts...)
-	for _, t := range f.eds.Told() {
+	notices = append(notices, fl.restarts...)
+	for _, t := range fl.eds.Told() {
 		if t.Error == "" && t.Version > 0 {
-			notices = append(notices, audit.Notice{At: t.At, Instance: t.Node, Push: t.Version - 1})
+			notices = append(notices, audit.Acknowledgement{At: t.At, Instance: t.Node, PushIndex: t.Version - 1})
 		}
 	}
 	return pushes, notices
 }
 
 // stop ends the instances by SIGTERM and tells whether each left with exit code 0.
-func (f *fleet) stop() error {
-	f.mu.Lock()
-	procs := append([]*process(nil), f.procs...)
-	f.mu.Unlock()
+func (fl *fleet) stop() error {
+	fl.mu.Lock()
+	procs := append([]*process(nil), fl.processes...)
+	fl.mu.Unlock()
 	for _, p := range procs {
 		if p != nil {
 			_ = p.cmd.Process.Signal(syscall.SIGTERM)
@@ -541,28 +541,28 @@
 }
 
 // close ends all that is left.
-func (f *fleet) close() {
-	for _, p := range f.procs {
+func (fl *fleet) close() {
+	for _, p := range fl.processes {
 		if p != nil {
 			_ = p.cmd.Process.Kill()
 			<-p.done
 		}
 	}
-	if f.eds != nil {
-		f.eds.Close()
+	if fl.eds != nil {
+		fl.eds.Close()
 	}
-	if f.relay != nil {
-		f.relay.Close()
+	if fl.relay != nil {
+		fl.relay.Close()
 	}
-	for _, list := range [][]*standin.Stream{f.fronts, f.backs} {
+	for _, list := range [][]*standin.Stream{fl.ingressStreams, fl.serverStreams} {
 		for _, r := range list {
 			r.Close()
 		}
 	}
-	for _, b := range f.boxes {
+	for _, b := range fl.servers {
 		b.Close()
 	}
-	if f.dir != "" {
-		os.RemoveAll(f.dir)
+	if fl.dir != "" {
+		os.RemoveAll(fl.dir)
 	}
 }
--- a/internal/day/play.go
+++ b/internal/day/play.go
@@ -25,8 +25,8 @@
 	Front  string        // what clients speak: "resp" or "", "grpc", or "both"
 }
 
-// Play plays a day and returns the verdict. An error means that the day could not be played.
-func Play(ctx context.Context, s *Script, opt Options) (*audit.Verdict, error) {
+// Run plays a day and returns the verdict. An error means that the day could not be played.
+func Run(ctx context.Context, s *Script, opt Options) (*audit.Result, error) {
 	switch opt.Front {
 	case "", "resp", "grpc", "both":
 	default:
@@ -45,20 +45,20 @@
 	up, cancel := context.WithTimeout(ctx, 20*time.Second)
 	defer cancel()
 	for i := range s.Instances {
-		if err := f.ready(up, i); err != nil {
+		if err := f.awaitReady(up, i); err != nil {
 			return nil, err
 		}
 	}
-	opt.Log.Info().Int("instances", s.Instances).Int("boxes", s.Boxes).Float64("rate", s.Rate).Dur("for", s.For).Msg("the day begins")
-	span, done := context.WithTimeout(ctx, s.For)
+	opt.Log.Info().Int("instances", s.Instances).Int("boxes", s.Servers).Float64("rate", s.Rate).Dur("for", s.Duration).Msg("the day begins")
+	span, done := context.WithTimeout(ctx, s.Duration)
 	defer done()
-	l := newLoad(f)
-	p := &play{f: f, l: l, log: opt.Log, failed: make(chan error, len(s.Events)+1)}
-	p.begin(span)
+	l := newLoadGenerator(f)
+	p := &faultRunner{fleet: f, load: l, log: opt.Log, errs: make(chan error, len(s.Faults)+1)}
+	p.start(span)
 	l.run(span)
-	p.work.Wait()
+	p.running.Wait()
 	select {
-	case err := <-p.failed:
+	case err := <-p.errs:
 		return nil, err
 	default:
 	}
@@ -68,24 +68,24 @@
 	if err := f.stop(); err != nil {
 		return nil, err
 	}
-	return audit.Judge(p.record()), nil
+	return audit.Evaluate(p.record()), nil
 }
 
-// play carries out the script.
-type play struct {
-	f      *fleet
-	l      *load
-	log    zerolog.Logger
-	work   sync.WaitGroup
-	failed chan error
+// faultRunner carries out the script.
+type faultRunner struct {
+	fleet   *fleet
+	load    *loadGenerator
+	log     zerolog.Logger
+	running sync.WaitGroup
+	errs    chan error
 }
 
-func (p *play) record() *audit.Record {
-	f := p.f
-	r := &audit.Record{Classes: f.cfg.Classes, Plans: f.cfg.Plans, PlanOf: map[string]string{}, Tries: p.l.tries,
-		Arrivals: f.arrivals, Falls: f.falls, Stalls: f.stalls, DrainGrace: 2 * time.Second, Slack: f.opt.Slack}
-	r.Pushes, r.Notices = f.told()
-	for _, list := range [][]*client{f.clients, f.fresh} {
+func (runner *faultRunner) record() *audit.Record {
+	f := runner.fleet
+	r := &audit.Record{Classes: f.config.Classes, Plans: f.config.Plans, PlanOf: map[string]string{}, Attempts: runner.load.attempts,
+		Arrivals: f.arrivals, Overloads: f.overloads, Pauses: f.pauses, DrainGrace: 2 * time.Second, Slack: f.options.Slack}
+	r.Pushes, r.Acknowledgements = f.listHistory()
+	for _, list := range [][]*client{f.clients, f.newClients} {
 		for _, c := range list {
 			r.PlanOf[c.name] = c.plan
 		}
@@ -93,26 +93,26 @@
 	return r
 }
 
-// begin starts a goroutine for each trouble; they end with the day.
-func (p *play) begin(ctx context.Context) {
+// start starts a goroutine for each trouble; they end with the day.
+func (runner *faultRunner) start(ctx context.Context) {
 	start := time.Now()
-	for i, e := range p.f.s.Events {
-		p.work.Add(1)
+	for i, e := range runner.fleet.script.Faults {
+		runner.running.Add(1)
 		go func() {
-			defer p.work.Done()
-			if !pause(ctx, time.Until(start.Add(e.At))) {
+			defer runner.running.Done()
+			if !sleep(ctx, time.Until(start.Add(e.At))) {
 				return
 			}
-			p.log.Info().Str("trouble", e.Kind).Float64("size", e.Size).Dur("for", e.For).Msg("trouble begins")
-			if err := p.trouble(ctx, e, i); err != nil {
-				p.failed <- fmt.Errorf("(%s %g) at %v: %w", e.Kind, e.Size, e.At, err)
+			runner.log.Info().Str("trouble", e.Kind).Float64("size", e.Size).Dur("for", e.Duration).Msg("trouble begins")
+			if err := runner.inject(ctx, e, i); err != nil {
+				runner.errs <- fmt.Errorf("(%s %g) at %v: %w", e.Kind, e.Size, e.At, err)
 			}
 		}()
 	}
 }
 
-// pause waits; false if the day is over first.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits; false if the day is over first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -123,55 +123,55 @@
 	}
 }
 
-// noticeAfter is how long the list takes to tell what has become of a box.
-const noticeAfter = 500 * time.Millisecond
+// listUpdateDelay is how long the list takes to tell what has become of a box.
+const listUpdateDelay = 500 * time.Millisecond
 
-// some returns the indices of n boxes, others for each trouble.
-func (p *play) some(n, salt int) []int {
+// selectServers returns the indices of n boxes, others for each trouble.
+func (runner *faultRunner) selectServers(n, salt int) []int {
 	var list []int
-	for i := range min(n, len(p.f.boxes)) {
-		list = append(list, (salt*5+i*7)%len(p.f.boxes))
+	for i := range min(n, len(runner.fleet.servers)) {
+		list = append(list, (salt*5+i*7)%len(runner.fleet.servers))
 	}
 	return list
 }
 
-func (p *play) down(list []int) {
+func (runner *faultRunner) takeDown(list []int) {
 	for _, i := range list {
-		p.f.down(i)
+		runner.fleet.takeDown(i)
 	}
 }
 
-func (p *play) each(list []int, f func(*standin.Box)) {
+func (runner *faultRunner) forEachServer(list []int, f func(*standin.Box)) {
 	for _, i := range list {
-		f(p.f.boxes[i])
+		f(runner.fleet.servers[i])
 	}
 }
 
-// all returns the first n numbers.
-func all(n int) (list []int) {
+// indices returns the first n numbers.
+func indices(n int) (list []int) {
 	for i := range n {
 		list = append(list, i)
 	}
 	return list
 }
 
-func (p *play) pieces(most int) {
-	for _, list := range [][]*standin.Stream{p.f.fronts, p.f.backs} {
+func (runner *faultRunner) limitPieces(most int) {
+	for _, list := range [][]*standin.Stream{runner.fleet.ingressStreams, runner.fleet.serverStreams} {
 		for _, r := range list {
 			r.Pieces(most)
 		}
 	}
 }
 
-// back restarts boxes cold and has the list say so.
-func (p *play) back(list []int) error {
+// restoreServers restarts boxes cold and has the list say so.
+func (runner *faultRunner) restoreServers(list []int) error {
 	for _, i := range list {
-		if err := p.f.up(i); err != nil {
+		if err := runner.fleet.bringUp(i); err != nil {
 			return err
 		}
 	}
 	now := float64(time.Now().UnixNano()) / 1e9
-	p.f.push(func(s []policy.Server) {
+	runner.fleet.updateServerList(func(s []policy.Server) {
 		for _, i := range list {
 			s[i].State, s[i].StartedAt = policy.Up, now
 		}
@@ -179,119 +179,119 @@
 	return nil
 }
 
-func (p *play) mark(list []int, state policy.ServerState) {
-	p.f.push(func(s []policy.Server) {
+func (runner *faultRunner) setState(list []int, state policy.ServerState) {
+	runner.fleet.updateServerList(func(s []policy.Server) {
 		for _, i := range list {
 			s[i].State = state
 		}
 	})
 }
 
-// trouble carries out one event and takes it back at its end.
-func (p *play) trouble(ctx context.Context, e Event, salt int) error {
-	f, l, n := p.f, p.l, int(e.Size)
+// inject carries out one event and takes it back at its end.
+func (runner *faultRunner) inject(ctx context.Context, e Fault, salt int) error {
+	f, l, n := runner.fleet, runner.load, int(e.Size)
 	while := func(on, off func()) error {
 		on()
-		pause(ctx, e.For)
+		sleep(ctx, e.Duration)
 		off()
 		return nil
 	}
 	set := func(f func()) func() { return func() { l.mu.Lock(); defer l.mu.Unlock(); f() } }
 	switch e.Kind {
 	case "kill":
-		return f.kill(ctx, n, e.For)
+		return f.kill(ctx, n, e.Duration)
 	case "stall":
-		f.stall(ctx, n, e.For)
+		f.pauseInstance(ctx, n, e.Duration)
 	case "silent", "dark":
 		var list []int
 		if e.Kind == "silent" {
-			list = p.some(n, salt)
-			p.each(list, func(b *standin.Box) { b.Silent(true) })
+			list = runner.selectServers(n, salt)
+			runner.forEachServer(list, func(b *standin.Box) { b.Silent(true) })
 		} else {
-			for i := range f.boxes {
-				if i%f.s.Rooms == n {
+			for i := range f.servers {
+				if i%f.script.Zones == n {
 					list = append(list, i)
 				}
 			}
-			p.down(list)
+			runner.takeDown(list)
 		}
-		if pause(ctx, min(noticeAfter, e.For/2)) {
-			p.mark(list, policy.Removed)
+		if sleep(ctx, min(listUpdateDelay, e.Duration/2)) {
+			runner.setState(list, policy.Removed)
 		}
-		if !pause(ctx, e.For-min(noticeAfter, e.For/2)) {
+		if !sleep(ctx, e.Duration-min(listUpdateDelay, e.Duration/2)) {
 			return nil
 		}
 		if e.Kind == "silent" {
-			p.down(list)
+			runner.takeDown(list)
 		}
-		return p.back(list)
+		return runner.restoreServers(list)
 	case "reset":
-		for _, i := range p.some(n, salt) {
-			f.backs[i].Sever()
+		for _, i := range runner.selectServers(n, salt) {
+			f.serverStreams[i].Sever()
 		}
 	case "sever":
-		f.sever(n)
+		f.resetClients(n)
 	case "hold", "hold-boxes":
 		hold := func(r *standin.Stream, on bool) { r.Hold(standin.Direction(salt%2), on) }
 		if e.Kind == "hold" {
-			f.wires(ctx, []int{n}, nil, e.For, hold)
+			f.disturbStreams(ctx, []int{n}, nil, e.Duration, hold)
 		} else {
-			f.wires(ctx, nil, p.some(n, salt), e.For, hold)
+			f.disturbStreams(ctx, nil, runner.selectServers(n, salt), e.Duration, hold)
 		}
 	case "pieces":
-		return while(func() { p.pieces(n) }, func() { p.pieces(0) })
+		return while(func() { runner.limitPieces(n) }, func() { runner.limitPieces(0) })
 	case "trickle":
-		f.wires(ctx, all(f.s.Instances), all(len(f.boxes)), e.For, func(r *standin.Stream, on bool) {
+		f.disturbStreams(ctx, indices(f.script.Instances), indices(len(f.servers)), e.Duration, func(r *standin.Stream, on bool) {
 			r.Trickle(0)
 			if on {
 				r.Trickle(e.Size)
 			}
 		})
 	case "slow":
-		every := all(len(f.boxes))
-		return while(func() { p.each(every, func(b *standin.Box) { b.Slow(e.Size) }) }, func() { p.each(every, func(b *standin.Box) { b.Slow(1) }) })
+		every := indices(len(f.servers))
+		return while(func() { runner.forEachServer(every, func(b *standin.Box) { b.Slow(e.Size) }) }, func() { runner.forEachServer(every, func(b *standin.Box) { b.Slow(1) }) })
 	case "age":
-		list := p.some(n, salt)
-		for i := 1; i <= 10 && pause(ctx, e.For/10); i++ {
-			p.each(list, func(b *standin.Box) { b.Slow(float64(i)) })
+		list := runner.selectServers(n, salt)
+		for i := 1; i <= 10 && sleep(ctx, e.Duration/10); i++ {
+			runner.forEachServer(list, func(b *standin.Box) { b.Slow(float64(i)) })
 		}
-		p.each(list, func(b *standin.Box) { b.Slow(1) })
+		runner.forEachServer(list, func(b *standin.Box) { b.Slow(1) })
 	case "mute":
-		list := p.some(n, salt)
-		return while(func() { p.each(list, func(b *standin.Box) { b.Mute("JOB.STATUS") }) },
-			func() { p.each(list, func(b *standin.Box) { b.Mute("") }) })
+		list := runner.selectServers(n, salt)
+		return while(func() { runner.forEachServer(list, func(b *standin.Box) { b.Mute("JOB.STATUS") }) },
+			func() { runner.forEachServer(list, func(b *standin.Box) { b.Mute("") }) })
 	case "drain":
-		list := p.some(n, salt)
-		p.mark(list, policy.Draining)
-		if pause(ctx, e.For) {
-			p.mark(list, policy.Up)
+		list := runner.selectServers(n, salt)
+		runner.setState(list, policy.Draining)
+		if sleep(ctx, e.Duration) {
+			runner.setState(list, policy.Up)
 		}
 	case "flood":
 		c := f.clients[len(f.clients)-1]
 		rate := 0.0
-		for _, k := range f.cfg.Plans {
+		for _, k := range f.config.Plans {
 			if k.Name == c.plan {
 				rate = k.Rate * e.Size
 			}
 		}
-		return while(set(func() { l.flood[c] = rate }), set(func() { delete(l.flood, c) }))
+		return while(set(func() { l.floodRates[c] = rate }), set(func() { delete(l.floodRates, c) }))
 	case "burst":
-		return while(set(func() { l.factor = e.Size }), set(func() { l.factor = 1 }))
+		return while(set(func() { l.loadFactor = e.Size }), set(func() { l.loadFactor = 1 }))
 	case "scan":
-		return while(set(func() { l.scan = e.Size }), set(func() { l.scan = 0 }))
+		return while(set(func() { l.scanShare = e.Size }), set(func() { l.scanShare = 0 }))
 	case "heavy":
-		to := func(x float64) func() { return func() { f.mu.Lock(); defer f.mu.Unlock(); f.heavy = x } }
+		to := func(x float64) func() { return func() { f.mu.Lock(); defer f.mu.Unlock(); f.heavyFactor = x } }
 		return while(to(e.Size), to(1))
 	case "move":
-		l.move(e.Size)
+		l.moveClients(e.Size)
 	case "lossy":
 		return while(func() { f.relay.Lose(e.Size) }, func() { f.relay.Lose(0) })
 	case "split":
-		part := make([]int, f.s.Instances)
+		part := make([]int, f.script.Instances)
 		for i := range part {
 			part[i] = i % n
 		}
-		return while(func() { f.relay.Split(part) }, func() { f.relay.Split(make([]int, f.s.Instances)) })
+		return while(func() { f.relay.Split(part) }, func() { f.relay.Split(make([]int, f.script.Instances)) })
 	}
 	return nil
 }
--- a/internal/day/rpc.go
+++ b/internal/day/rpc.go
@@ -22,9 +22,9 @@
 
 // rpcClient is the connection of all customers to one instance's gRPC front.
 type rpcClient struct {
-	conn   *grpc.ClientConn
-	work   pb.GatewayClient
-	limits rlsv3.RateLimitServiceClient
+	conn    *grpc.ClientConn
+	gateway pb.GatewayClient
+	limits  rlsv3.RateLimitServiceClient
 }
 
 func newRPCClient(addr string) *rpcClient {
@@ -37,12 +37,12 @@
 	return &rpcClient{conn, pb.NewGatewayClient(conn), rlsv3.NewRateLimitServiceClient(conn)}
 }
 
-func (r *rpcClient) close() { r.conn.Close() }
+func (rc *rpcClient) close() { rc.conn.Close() }
 
-// as is a context that bears a name and the day's secret.
-func as(name string, over <-chan struct{}) (context.Context, context.CancelFunc) {
+// withCredentials is a context that bears a name and the day's secret.
+func withCredentials(name string, over <-chan struct{}) (context.Context, context.CancelFunc) {
 	ctx := metadata.AppendToOutgoingContext(context.Background(), "authorization",
-		"Basic "+base64.StdEncoding.EncodeToString([]byte(name+":"+daySecret)))
+		"Basic "+base64.StdEncoding.EncodeToString([]byte(name+":"+clientSecret)))
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
 		select {
@@ -56,13 +56,13 @@
 
 // ask makes one call and tells how it ended. Whether a call whose connection broke had been taken is not known
 // to its client.
-func (r *rpcClient) ask(client string, words []string, limit bool, over <-chan struct{}) (end audit.End, wrong bool) {
+func (rc *rpcClient) ask(client string, words []string, limit bool, over <-chan struct{}) (end audit.Outcome, wrong bool) {
 	var err error
 	if limit {
-		ctx, cancel := as("day", over)
+		ctx, cancel := withCredentials("day", over)
 		defer cancel()
 		var res *rlsv3.RateLimitResponse
-		res, err = r.limits.ShouldRateLimit(ctx, &rlsv3.RateLimitRequest{Domain: "day", HitsAddend: 1,
+		res, err = rc.limits.ShouldRateLimit(ctx, &rlsv3.RateLimitRequest{Domain: "day", HitsAddend: 1,
 			Descriptors: []*ratelimitv3.RateLimitDescriptor{{Entries: []*ratelimitv3.RateLimitDescriptor_Entry{{Key: "client", Value: client}}}}})
 		if err == nil && res.GetOverallCode() == rlsv3.RateLimitResponse_OK {
 			return audit.Admitted, false
@@ -70,14 +70,14 @@
 			return audit.Limited, false
 		}
 	} else {
-		ctx, cancel := as(client, over)
+		ctx, cancel := withCredentials(client, over)
 		defer cancel()
 		req := &pb.DoRequest{}
 		for _, w := range words {
 			req.Words = append(req.Words, []byte(w))
 		}
 		var res *pb.DoResponse
-		if res, err = r.work.Do(ctx, req); err == nil {
+		if res, err = rc.gateway.Do(ctx, req); err == nil {
 			return audit.Served, !isAnswer(resp.Text(res.GetReply(), resp.DefaultLimits), words, len(words) > 4)
 		}
 	}
@@ -86,9 +86,9 @@
 		return audit.Refused, false
 	case codes.Unavailable:
 		if strings.Contains(status.Convert(err).Message(), "while dialing") { // no connection stood: nobody took it
-			return audit.Unreached, false
+			return audit.NotConnected, false
 		}
-		return audit.Broken, false
+		return audit.ConnectionLost, false
 	case codes.Canceled:
 		return audit.Unanswered, false
 	}
--- a/internal/day/sabotage.go
+++ b/internal/day/sabotage.go
@@ -17,14 +17,14 @@
 	"cometpond/policy"
 )
 
-// Sabotage returns hooks with which an instance breaks one rule: drain, repeat, lost, ceiling or cold; or with
+// ViolationHooks returns hooks with which an instance breaks one rule: drain, repeat, lost, ceiling or cold; or with
 // which it loses input, "input", which breaks the rule that no request is lost. The
 // product knows nothing of them; they stand between its parts, so that the auditor can be tried.
-func Sabotage(rule string) (instance.Hooks, error) {
-	make, ok := saboteurs[rule]
+func ViolationHooks(rule string) (instance.Hooks, error) {
+	make, ok := hooksByRule[rule]
 	if !ok {
 		var names []string
-		for n := range saboteurs {
+		for n := range hooksByRule {
 			names = append(names, n)
 		}
 		sort.Strings(names)
@@ -33,19 +33,21 @@
 	return make(), nil
 }
 
-var saboteurs = map[string]func() instance.Hooks{
+var hooksByRule = map[string]func() instance.Hooks{
 	// Boxes that drain or are gone stay up in the instance's eyes.
 	"drain": func() instance.Hooks {
-		return instance.Hooks{Lists: func(s discovery.Sink) discovery.Sink { return &deaf{Sink: s, seen: map[string]policy.Server{}} }}
+		return instance.Hooks{Lists: func(s discovery.Sink) discovery.Sink {
+			return &staleListSink{Sink: s, seen: map[string]policy.Server{}}
+		}}
 	},
 	// Submissions go to a second room as well.
 	"repeat": func() instance.Hooks {
-		k := &rooms{}
-		return instance.Hooks{Lists: k.lists, Backend: func(b core.Backend) core.Backend { return &doubler{Backend: b, rooms: k} }}
+		k := &serverList{}
+		return instance.Hooks{Lists: k.wrap, Backend: func(b core.Backend) core.Backend { return &duplicatingBackend{Backend: b, servers: k} }}
 	},
 	// Every tenth call is taken and forgotten.
 	"lost": func() instance.Hooks {
-		return instance.Hooks{Calls: func(c front.Core) front.Core { return &loser{Core: c} }}
+		return instance.Hooks{Calls: func(c front.Core) front.Core { return &droppingCore{Core: c} }}
 	},
 	// The head of a command that comes in more than one piece is thrown away, as the front once did.
 	"input": func() instance.Hooks {
@@ -66,80 +68,80 @@
 	},
 	// A box that has just started gets all work.
 	"cold": func() instance.Hooks {
-		k := &rooms{}
-		return instance.Hooks{Lists: k.lists, Backend: func(b core.Backend) core.Backend { return &crowd{Backend: b, rooms: k} }}
+		k := &serverList{}
+		return instance.Hooks{Lists: k.wrap, Backend: func(b core.Backend) core.Backend { return &newestServerBackend{Backend: b, servers: k} }}
 	},
 }
 
-type deaf struct {
+type staleListSink struct {
 	discovery.Sink
 	seen map[string]policy.Server
 }
 
-func (d *deaf) Servers(list []policy.Server, whole bool) <-chan struct{} {
+func (sink *staleListSink) Servers(list []policy.Server, whole bool) <-chan struct{} {
 	for _, s := range list {
 		s.State = policy.Up
-		d.seen[s.ID] = s
+		sink.seen[s.ID] = s
 	}
-	all := make([]policy.Server, 0, len(d.seen))
-	for _, s := range d.seen {
+	all := make([]policy.Server, 0, len(sink.seen))
+	for _, s := range sink.seen {
 		all = append(all, s)
 	}
-	return d.Sink.Servers(all, whole)
+	return sink.Sink.Servers(all, whole)
 }
 
-// rooms remembers the list on its way to the core.
-type rooms struct {
+// serverList remembers the list on its way to the core.
+type serverList struct {
 	mu   sync.Mutex
 	list []policy.Server
 }
 
-func (r *rooms) lists(s discovery.Sink) discovery.Sink { return &listener{s, r} }
+func (r *serverList) wrap(s discovery.Sink) discovery.Sink { return &listRecorder{s, r} }
 
-type listener struct {
+type listRecorder struct {
 	discovery.Sink
-	rooms *rooms
+	servers *serverList
 }
 
-func (l *listener) Servers(list []policy.Server, whole bool) <-chan struct{} {
-	l.rooms.mu.Lock()
-	l.rooms.list = list
-	l.rooms.mu.Unlock()
-	return l.Sink.Servers(list, whole)
+func (recorder *listRecorder) Servers(list []policy.Server, whole bool) <-chan struct{} {
+	recorder.servers.mu.Lock()
+	recorder.servers.list = list
+	recorder.servers.mu.Unlock()
+	return recorder.Sink.Servers(list, whole)
 }
 
-type doubler struct {
+type duplicatingBackend struct {
 	core.Backend
-	rooms *rooms
+	servers *serverList
 }
 
-func (d *doubler) Send(a core.Attempt, box string, payload []byte, timing policy.Timing) {
-	d.Backend.Send(a, box, payload, timing)
-	d.rooms.mu.Lock()
-	defer d.rooms.mu.Unlock()
+func (backend *duplicatingBackend) Send(a core.Attempt, box string, payload []byte, timing policy.Timing) {
+	backend.Backend.Send(a, box, payload, timing)
+	backend.servers.mu.Lock()
+	defer backend.servers.mu.Unlock()
 	zone := ""
-	for _, s := range d.rooms.list {
+	for _, s := range backend.servers.list {
 		if s.ID == box {
 			zone = s.Zone
 		}
 	}
-	for _, s := range d.rooms.list {
+	for _, s := range backend.servers.list {
 		if s.Zone != zone && s.State == policy.Up && s.StartedAt == 0 { // a cold one might fall over: another rule
 			a.N += 100 // no attempt that the core knows: its answer is late
-			d.Backend.Send(a, s.ID, payload, timing)
+			backend.Backend.Send(a, s.ID, payload, timing)
 			return
 		}
 	}
 }
 
-type loser struct {
+type droppingCore struct {
 	front.Core
-	n atomic.Uint64
+	submitted atomic.Uint64
 }
 
-func (l *loser) Submit(calls []*core.Call) int {
+func (l *droppingCore) Submit(calls []*core.Call) int {
 	for i, c := range calls {
-		if l.n.Add(1)%10 == 0 {
+		if l.submitted.Add(1)%10 == 0 {
 			continue
 		}
 		if l.Core.Submit([]*core.Call{c}) == 0 {
@@ -149,22 +151,22 @@
 	return len(calls)
 }
 
-type crowd struct {
+type newestServerBackend struct {
 	core.Backend
-	rooms *rooms
+	servers *serverList
 }
 
-func (c *crowd) Send(a core.Attempt, box string, payload []byte, timing policy.Timing) {
-	c.rooms.mu.Lock()
+func (backend *newestServerBackend) Send(a core.Attempt, box string, payload []byte, timing policy.Timing) {
+	backend.servers.mu.Lock()
 	newest, since := "", float64(time.Now().UnixNano())/1e9-8
-	for _, s := range c.rooms.list {
+	for _, s := range backend.servers.list {
 		if s.State == policy.Up && s.StartedAt > since {
 			newest, since = s.ID, s.StartedAt
 		}
 	}
-	c.rooms.mu.Unlock()
+	backend.servers.mu.Unlock()
 	if newest != "" {
 		box = newest
 	}
-	c.Backend.Send(a, box, payload, timing)
+	backend.Backend.Send(a, box, payload, timing)
 }
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -15,25 +15,25 @@
 
 // Script is a day: its length, load and trouble.
 type Script struct {
-	For       time.Duration
+	Duration  time.Duration
 	Rate      float64 // requests a second, without retries
 	Seed      uint64
 	Instances int
-	Rooms     int
-	Boxes     int // in all, spread evenly over the rooms
-	Events    []Event
+	Zones     int
+	Servers   int // in all, spread evenly over the rooms
+	Faults    []Fault
 }
 
-// Event is one trouble.
-type Event struct {
-	At   time.Duration
-	Kind string
-	Size float64       // what it means is the kind's
-	For  time.Duration // 0 for troubles that are over at once
+// Fault is one trouble.
+type Fault struct {
+	At       time.Duration
+	Kind     string
+	Size     float64       // what it means is the kind's
+	Duration time.Duration // 0 for troubles that are over at once
 }
 
-// kinds are the troubles with the meaning of their size and its range.
-var kinds = map[string]struct {
+// faultKinds are the troubles with the meaning of their size and its range.
+var faultKinds = map[string]struct {
 	what   string
 	lo, hi float64
 	lasts  bool
@@ -61,9 +61,9 @@
 	"split":      {"parts that the instances fall into", 2, 64, true},
 }
 
-// builtin is the day that is played without a script. Every kind of trouble that an operator fears comes
+// builtinScript is the day that is played without a script. Every kind of trouble that an operator fears comes
 // once, some of them together.
-const builtin = `
+const builtinScript = `
 (day (for 40s) (rate 300) (seed 1) (instances 3) (rooms 3) (boxes 12)
   (at 100ms (pieces 65536) (for 39s))
   (at 2s   (sever 0))
@@ -87,7 +87,7 @@
 
 // Builtin returns the day that is played without a script.
 func Builtin() *Script {
-	s, err := parse("builtin", builtin)
+	s, err := parse("builtin", builtinScript)
 	if err != nil {
 		panic(err) // a test reads it
 	}
@@ -111,46 +111,46 @@
 	if len(f.Forms) != 1 || f.Forms[0].Head() != "day" {
 		return nil, fmt.Errorf("script: %s: want one (day ..)", path)
 	}
-	s := &Script{For: 40 * time.Second, Rate: 300, Seed: 1, Instances: 3, Rooms: 3, Boxes: 12}
+	s := &Script{Duration: 40 * time.Second, Rate: 300, Seed: 1, Instances: 3, Zones: 3, Servers: 12}
 	r, top, seed := &sexp.Reader{}, f.Forms[0], 1
 	r.Fields(top, "day", top.Args(), []sexp.Field{
-		sexp.TimeField("for", false, &s.For, time.Second, 24*time.Hour),
+		sexp.TimeField("for", false, &s.Duration, time.Second, 24*time.Hour),
 		sexp.NumField("rate", false, &s.Rate, 1, 1e5),
 		sexp.IntField("seed", false, &seed, 0, 1<<31),
 		sexp.IntField("instances", false, &s.Instances, 1, 64),
-		sexp.IntField("rooms", false, &s.Rooms, 1, 64),
-		sexp.IntField("boxes", false, &s.Boxes, 1, 1000),
-		{Name: "at", Many: true, Read: s.event},
+		sexp.IntField("rooms", false, &s.Zones, 1, 64),
+		sexp.IntField("boxes", false, &s.Servers, 1, 1000),
+		{Name: "at", Many: true, Read: s.readFault},
 	})
 	s.Seed = uint64(seed)
 	if r.Err != nil {
 		return nil, fmt.Errorf("script: %w", r.Err)
 	}
-	for _, e := range s.Events {
-		if slices.Contains([]string{"kill", "stall", "hold", "sever"}, e.Kind) && int(e.Size) >= s.Instances || e.Kind == "dark" && int(e.Size) >= s.Rooms {
+	for _, e := range s.Faults {
+		if slices.Contains([]string{"kill", "stall", "hold", "sever"}, e.Kind) && int(e.Size) >= s.Instances || e.Kind == "dark" && int(e.Size) >= s.Zones {
 			return nil, fmt.Errorf("script: (%s %g) at %v: there is none of that number", e.Kind, e.Size, e.At)
 		}
 	}
-	s.order()
+	s.sortFaults()
 	return s, nil
 }
 
-func (s *Script) order() {
-	slices.SortStableFunc(s.Events, func(a, b Event) int { return int(a.At - b.At) })
+func (script *Script) sortFaults() {
+	slices.SortStableFunc(script.Faults, func(a, b Fault) int { return int(a.At - b.At) })
 }
 
-// event reads (at TIME (KIND SIZE) (for TIME)).
-func (s *Script) event(r *sexp.Reader, n *sexp.Node) {
+// readFault reads (at TIME (KIND SIZE) (for TIME)).
+func (script *Script) readFault(r *sexp.Reader, n *sexp.Node) {
 	a := n.Args()
 	if len(a) < 2 || len(a) > 3 {
 		r.Fail(n, "at", "want (at TIME (KIND SIZE) (for TIME))")
 		return
 	}
-	e := Event{At: r.Duration(a[0], "at", 0, 24*time.Hour), Kind: a[1].Head()}
-	k, ok := kinds[e.Kind]
+	e := Fault{At: r.Duration(a[0], "at", 0, 24*time.Hour), Kind: a[1].Head()}
+	k, ok := faultKinds[e.Kind]
 	if !ok {
 		var names []string
-		for name := range kinds {
+		for name := range faultKinds {
 			names = append(names, name)
 		}
 		sort.Strings(names)
@@ -160,24 +160,24 @@
 	e.Size = r.Number(r.One(a[1], "SIZE"), e.Kind, k.lo, k.hi)
 	switch {
 	case k.lasts && len(a) == 3 && a[2].Head() == "for":
-		e.For = r.Duration(r.One(a[2], "TIME"), "for", time.Millisecond, 24*time.Hour)
+		e.Duration = r.Duration(r.One(a[2], "TIME"), "for", time.Millisecond, 24*time.Hour)
 	case k.lasts:
 		r.Fail(n, e.Kind, "lasts, want (for TIME) with it")
 	case len(a) == 3:
 		r.Fail(a[2], e.Kind, "is over at once, want no more after it")
 	}
-	s.Events = append(s.Events, e)
+	script.Faults = append(script.Faults, e)
 }
 
-// Stretch plays the same day over another time: troubles keep their length and come earlier or later.
-func (s *Script) Stretch(to time.Duration) {
-	by := float64(to) / float64(s.For)
-	for i := range s.Events {
-		e := &s.Events[i]
+// ScaleTo plays the same day over another time: troubles keep their length and come earlier or later.
+func (script *Script) ScaleTo(to time.Duration) {
+	by := float64(to) / float64(script.Duration)
+	for i := range script.Faults {
+		e := &script.Faults[i]
 		e.At = time.Duration(float64(e.At) * by)
 		if by < 1 {
-			e.For = time.Duration(float64(e.For) * by)
+			e.Duration = time.Duration(float64(e.Duration) * by)
 		}
 	}
-	s.For = to
+	script.Duration = to
 }
