--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,5 +1,5 @@
-// Package audit judges the five rules from what clients, boxes and the discovery server saw on their
-// sockets. It takes no instance's word, does no I/O and has no clock.
+// Package audit checks five rules against what clients, servers and the discovery server observed on their
+// sockets. It relies on nothing that an instance reports about itself, does no I/O and reads no clock.
 package audit
 
 import (
@@ -15,16 +15,16 @@
 	"cometpond/policy"
 )
 
-// Rule is one of the five.
+// Rule is one of the five rules that are checked.
 type Rule int
 
 // The rules.
 const (
-	NoRequestLost          Rule = iota // each request taken has one final answer in time, and nothing is sent for it after
-	NoEffectTwice                      // no effect happens twice, and a refusal is harmless
-	DrainsKept                         // nothing new to a box that drains or is gone
-	NoColdServerOverloaded             // no box that has just started is pushed over
-	CeilingsKept                       // no customer passes its hard ceiling
+	NoRequestLost          Rule = iota // each accepted request has one final answer in time, and nothing is sent to a server after it
+	NoEffectTwice                      // no effect happens twice, and a refused request has had no effect
+	DrainsKept                         // no new work goes to a server that drains or has been removed
+	NoColdServerOverloaded             // no server that has just started is overloaded until it fails
+	CeilingsKept                       // no customer exceeds its hard ceiling
 	ruleCount
 )
 
@@ -33,24 +33,25 @@
 // ShortNames are the rules' names on the command line.
 var ShortNames = [ruleCount]string{"lost", "repeat", "drain", "cold", "ceiling"}
 
+// String returns the name of the rule as it is printed in the report.
 func (r Rule) String() string { return ruleNames[r] }
 
-// Outcome is the way a try ended for its client.
+// Outcome is how an attempt ended for its client.
 type Outcome string
 
-// The ends.
+// The outcomes.
 const (
 	Served         Outcome = "served"
 	Refused        Outcome = "refused"
 	Failed         Outcome = "failed"
-	Admitted       Outcome = "admitted"   // units alone
-	Limited        Outcome = "limited"    // units alone, refused
-	ConnectionLost Outcome = "broken"     // the connection ended first
-	Unanswered     Outcome = "unanswered" // nothing came in time
-	NotConnected   Outcome = "unreached"  // no connection was had: nobody took it
+	Admitted       Outcome = "admitted"   // a request for units alone, granted
+	Limited        Outcome = "limited"    // a request for units alone, refused
+	ConnectionLost Outcome = "broken"     // the connection ended before the answer
+	Unanswered     Outcome = "unanswered" // no answer came in time
+	NotConnected   Outcome = "unreached"  // no connection was established: no instance received it
 )
 
-// ClientAttempt is one command as its client saw it.
+// ClientAttempt is one command as its client observed it. A client retry is an attempt of its own.
 type ClientAttempt struct {
 	ID, Client, Class, Key string
 	Instance               int
@@ -58,34 +59,34 @@
 	SentAt, EndedAt        time.Time
 	Outcome                Outcome
 	ExtraAnswers           int  // answers beyond the first
-	Excused                bool // its instance was killed while it was out
-	WrongAnswer            bool // the answer was another's
+	Excused                bool // its instance was killed while it was in flight
+	WrongAnswer            bool // the answer belonged to another attempt
 }
 
-// Pause is a time in which an instance stood still, or in which the wire between it and its clients did, or the
-// one to a box: then it may not know how old a request is, nor call back what it has sent.
+// Pause is a period in which an instance was paused, or in which the network between it and its clients, or to a
+// server, was disturbed. The instance may then neither know how old a request is nor withdraw what it has sent.
 type Pause struct {
-	Instance int    // without a box
-	Server   string // the wire to this box, from all instances
+	Instance int    // used if Server is empty
+	Server   string // the network to this server, from all instances
 	From, To time.Time
 	Network  bool
 }
 
-// Arrival is one command as a box saw it.
+// Arrival is one command as a server observed it.
 type Arrival struct {
 	At                                              time.Time
 	Server, Instance, AttemptID, Class, Client, Key string
 	Executed                                        bool
 }
 
-// Push is a list of boxes that discovery offered to all instances.
+// Push is a list of servers that discovery offered to all instances.
 type Push struct {
 	At time.Time
-	Up map[string]bool // the boxes that may get new work
+	Up map[string]bool // the servers that may get new work
 }
 
-// Acknowledgement is the moment at which an instance acknowledged a list, by its index among the pushes, or, with
-// Restart, began anew.
+// Acknowledgement is the time at which an instance acknowledged a list, given by its index among the pushes, or,
+// with Restarted, at which the instance was restarted.
 type Acknowledgement struct {
 	At        time.Time
 	Instance  string
@@ -93,13 +94,13 @@
 	Restarted bool
 }
 
-// Overload is a box that was pushed over.
+// Overload is the failure of a server under overload.
 type Overload struct {
 	At     time.Time
 	Server string
 }
 
-// Record is all that was seen.
+// Record is everything that was observed.
 type Record struct {
 	Classes          []policy.Class
 	Plans            []policy.Plan
@@ -111,39 +112,39 @@
 	Overloads        []Overload
 	Pauses           []Pause
 	DrainGrace       time.Duration
-	Slack            time.Duration // how late the machine may see an answer or an arrival, 250 ms where it is 0
+	Slack            time.Duration // how late an answer or an arrival may be observed on this machine; 0 means 250 ms
 }
 
-// Tolerances of measuring on one busy machine.
+// Tolerances for measuring on one busy machine.
 const (
 	defaultSlack  = 250 * time.Millisecond
-	ceilingSlackS = 0.1 // seconds of the ceiling's rate by which arrivals may bunch
+	ceilingSlackS = 0.1 // arrivals may bunch by this many seconds of the ceiling's rate
 )
 
-// Result is what a record comes to.
+// Result is the outcome of checking a record.
 type Result struct {
-	Violations [ruleCount][]string // what broke each rule
-	Requests   int                 // tries that an instance took
+	Violations [ruleCount][]string // descriptions of the violations of each rule
+	Requests   int                 // attempts that an instance received
 	Groups     []Group
 	Overshoots []Overshoot
 }
 
-// Group is the tries of one class and plan.
+// Group summarizes the attempts of one class and plan.
 type Group struct {
 	Class, Plan string
 	Outcomes    map[Outcome]int
-	Latency     *hdrhistogram.Histogram // of served ones, microseconds
+	Latency     *hdrhistogram.Histogram // of served attempts, in microseconds
 }
 
-// Overshoot is how far the customers of a plan went past its quota and ceiling, in units: the deepest that
-// the store of any of them went below 0.
+// Overshoot is how far the customers of a plan exceeded its quota and ceiling, in units: the furthest that the
+// token bucket of any of them went below 0.
 type Overshoot struct {
 	Plan                    string
-	Quota, Ceiling, Allowed float64 // allowed: the ceiling's slack
-	Units, BeyondQuota      float64 // sent on in all, and of them beyond quotas
+	Quota, Ceiling, Allowed float64 // Allowed is the ceiling's slack
+	Units, BeyondQuota      float64 // all units sent to servers, and those of them beyond quotas
 }
 
-// Kept tells whether all rules were kept.
+// Kept reports whether all rules were kept.
 func (result *Result) Kept() bool {
 	for _, b := range result.Violations {
 		if len(b) > 0 {
@@ -157,7 +158,7 @@
 	result.Violations[r] = append(result.Violations[r], fmt.Sprintf(format, args...))
 }
 
-// Evaluate reads a record.
+// Evaluate checks a record against the rules.
 func Evaluate(r *Record) *Result {
 	v := &Result{}
 	if r.Slack == 0 {
@@ -177,7 +178,7 @@
 	v.checkRepeatedEffects(r, classes, tries)
 	v.checkDrains(r)
 	for _, f := range r.Overloads {
-		v.addViolation(NoColdServerOverloaded, "%s fell over at %s", f.Server, f.At.Format("15:04:05.000"))
+		v.addViolation(NoColdServerOverloaded, "%s failed under overload at %s", f.Server, f.At.Format("15:04:05.000"))
 	}
 	v.checkQuotas(r, tries)
 	v.groupAttempts(r)
@@ -196,16 +197,16 @@
 		}
 		switch {
 		case t.WrongAnswer:
-			result.addViolation(NoRequestLost, "try %s had the answer of another", t.ID)
+			result.addViolation(NoRequestLost, "attempt %s received the answer of another attempt", t.ID)
 		case t.ExtraAnswers > 0:
-			result.addViolation(NoRequestLost, "try %s had %d answers", t.ID, 1+t.ExtraAnswers)
+			result.addViolation(NoRequestLost, "attempt %s received %d answers", t.ID, 1+t.ExtraAnswers)
 		case t.Excused || t.Outcome == NotConnected:
 		case t.Outcome == Unanswered:
-			result.addViolation(NoRequestLost, "try %s at instance %d had no answer", t.ID, t.Instance)
+			result.addViolation(NoRequestLost, "attempt %s at instance %d received no answer", t.ID, t.Instance)
 		case t.Outcome == ConnectionLost:
-			result.addViolation(NoRequestLost, "try %s lost its connection to instance %d, which ran on", t.ID, t.Instance)
+			result.addViolation(NoRequestLost, "attempt %s lost its connection to instance %d, which kept running", t.ID, t.Instance)
 		case late > 0:
-			result.addViolation(NoRequestLost, "try %s (%s, sent at %s to instance %d, %s) was answered %v after its deadline", t.ID, t.Class,
+			result.addViolation(NoRequestLost, "attempt %s (%s, sent at %s to instance %d, %s) was answered %v after its deadline", t.ID, t.Class,
 				t.SentAt.Format("15:04:05.000"), t.Instance, t.Outcome, late)
 		}
 	}
@@ -213,23 +214,24 @@
 		a := &r.Arrivals[i]
 		t := tries[a.AttemptID]
 		if t == nil {
-			result.addViolation(NoRequestLost, "%s got %s, which no client sent", a.Server, a.AttemptID)
+			result.addViolation(NoRequestLost, "%s received %s, which no client sent", a.Server, a.AttemptID)
 			continue
 		}
 		way, late := r.networkDelay(t, a)
 		if answered(t.Outcome) && a.At.Sub(t.EndedAt)-late > r.Slack {
-			result.addViolation(NoRequestLost, "%s got try %s %v after its final answer", a.Server, a.AttemptID, a.At.Sub(t.EndedAt))
+			result.addViolation(NoRequestLost, "%s received attempt %s %v after its final answer", a.Server, a.AttemptID, a.At.Sub(t.EndedAt))
 		} else if c := classes[t.Class]; c != nil && a.At.Sub(t.SentAt)-way > time.Duration(c.DeadlineS*1e9)+r.Slack {
-			result.addViolation(NoRequestLost, "%s got try %s %v after it was sent, past its deadline", a.Server, a.AttemptID, a.At.Sub(t.SentAt))
+			result.addViolation(NoRequestLost, "%s received attempt %s %v after it was sent, past its deadline", a.Server, a.AttemptID, a.At.Sub(t.SentAt))
 		}
 	}
 }
 
-// answerDue is when a try's answer is due: by its deadline, or when its instance goes on after having stood still over
-// it. No stopped process can answer, and what is held on the wire comes as much later.
+// answerDue returns when the answer to an attempt is due: at its deadline, or when its instance resumes if a pause
+// lasts past the deadline, since a stopped process can't answer. A disturbed network delays the answer by as much
+// as the disturbance lasts.
 func (record *Record) answerDue(t *ClientAttempt, c *policy.Class) time.Time {
 	due := t.SentAt.Add(time.Duration(c.DeadlineS * 1e9))
-	for _, s := range record.Pauses { // in the order of their beginnings
+	for _, s := range record.Pauses { // ordered by start
 		switch {
 		case s.Server != "" || s.Instance != t.Instance || s.From.After(due.Add(record.Slack)) || s.To.Before(t.SentAt):
 		case s.Network:
@@ -241,7 +243,7 @@
 	return due
 }
 
-// overlap is how much of a stall lies between two times.
+// overlap returns how much of a pause lies between two times.
 func (pause *Pause) overlap(from, to time.Time) time.Duration {
 	if from.Before(pause.From) {
 		from = pause.From
@@ -252,8 +254,8 @@
 	return max(0, to.Sub(from))
 }
 
-// networkDelay is how long, at most, a try lay held up before it reached a box: on its way to the instance, and,
-// which is all that counts once it has been answered, on its way from there.
+// networkDelay returns the longest time that the network may have delayed an attempt before it reached a server: in
+// all, and on the way from the instance to the server alone. Only the latter counts once it has been answered.
 func (record *Record) networkDelay(t *ClientAttempt, a *Arrival) (before, after time.Duration) {
 	for _, s := range record.Pauses {
 		if s.Server == a.Server {
@@ -268,7 +270,7 @@
 func answered(e Outcome) bool { return e == Served || e == Refused || e == Failed }
 
 func (result *Result) checkRepeatedEffects(r *Record, classes map[string]*policy.Class, tries map[string]*ClientAttempt) {
-	ran := map[string][]Arrival{} // by effect
+	ran := map[string][]Arrival{} // by the identity of the effect
 	for _, a := range r.Arrivals {
 		c := classes[a.Class]
 		if !a.Executed || c == nil || c.Effect == policy.Safe {
@@ -280,19 +282,20 @@
 		}
 		ran[effect] = append(ran[effect], a)
 		if t := tries[a.AttemptID]; t != nil && t.Outcome == Refused && !(c.Effect == policy.Keyed && c.KeyScope == policy.ScopeAll) {
-			result.addViolation(NoEffectTwice, "try %s was refused as harmless and ran at %s", a.AttemptID, a.Server)
+			result.addViolation(NoEffectTwice, "attempt %s was refused as without effect but was executed at %s", a.AttemptID, a.Server)
 		}
 	}
 	for effect, list := range ran {
 		if len(list) > 1 {
-			result.addViolation(NoEffectTwice, "%s ran %d times, at %s and %s, %v apart", effect, len(list), list[0].Server, list[1].Server,
+			result.addViolation(NoEffectTwice, "%s was executed %d times, at %s and %s, %v apart", effect, len(list), list[0].Server, list[1].Server,
 				list[1].At.Sub(list[0].At).Round(time.Millisecond))
 		}
 	}
 	sort.Strings(result.Violations[NoEffectTwice])
 }
 
-// checkDrains looks for work that came to a box later than the grace after its instance was told not to.
+// checkDrains looks for work that reached a server later than the grace period after its instance acknowledged a list
+// in which the server no longer takes new work.
 func (result *Result) checkDrains(r *Record) {
 	byInstance := map[string][]Acknowledgement{}
 	for _, n := range r.Acknowledgements {
@@ -302,8 +305,8 @@
 		slices.SortStableFunc(list, func(a, b Acknowledgement) int { return a.At.Compare(b.At) })
 	}
 	for _, a := range r.Arrivals {
-		// What it had acknowledged before the grace said so, and no list since said otherwise: an
-		// instance may act on a list a little before its acknowledgement is seen.
+		// A violation needs that the list acknowledged before the grace period excluded the server and no
+		// later list included it: an instance may act on a list shortly before its acknowledgement is observed.
 		list := byInstance[a.Instance]
 		limit := a.At.Add(-r.DrainGrace - r.Slack)
 		n := sort.Search(len(list), func(i int) bool { return list[i].At.After(limit) })
@@ -315,13 +318,13 @@
 			off = !r.Pushes[list[n-1].PushIndex+k].Up[a.Server]
 		}
 		if off {
-			result.addViolation(DrainsKept, "%s got try %s from %s at %s, told off over %v before", a.Server, a.AttemptID, a.Instance,
+			result.addViolation(DrainsKept, "%s received attempt %s from %s at %s, more than %v after the instance acknowledged its drain or removal", a.Server, a.AttemptID, a.Instance,
 				a.At.Format("15:04:05.000"), r.DrainGrace)
 		}
 	}
 }
 
-// tokenBucket is a quota or ceiling as the rules count it.
+// tokenBucket is a quota or ceiling as the rules count it. Its level may go below 0.
 type tokenBucket struct {
 	level, rate, burst, lowest float64
 	at                         time.Time
@@ -338,7 +341,7 @@
 	return beyond
 }
 
-// checkQuotas counts, for each customer, the units of each try when it first reached a box or was admitted.
+// checkQuotas counts the units of each customer's attempts, each when it first reached a server or was admitted.
 func (result *Result) checkQuotas(r *Record, tries map[string]*ClientAttempt) {
 	type use struct {
 		at     time.Time
@@ -382,7 +385,7 @@
 			}
 			if q.take(u.at, u.units) {
 				o.BeyondQuota += u.units
-				q.level += u.units // what is beyond takes nothing: it does not make the next one beyond
+				q.level += u.units // units beyond the quota are returned, so that they don't put the next use beyond it
 				o.Quota = max(o.Quota, u.units-q.level)
 			}
 		}
@@ -396,7 +399,7 @@
 			if q.lowest < -p.CeilingSlack-ceilingSlackS*p.CeilingRate && !math.IsInf(q.burst, 1) {
 				result.addViolation(CeilingsKept, "client %s on %s went %.1f units below its ceiling at %s, %.1f are allowed", u.client, p.Name,
 					-q.lowest, u.at.Format("15:04:05.000"), p.CeilingSlack)
-				q.burst = math.Inf(1) // told once
+				q.burst = math.Inf(1) // reported once
 			}
 			o.Ceiling = max(o.Ceiling, -q.lowest)
 		}
@@ -419,7 +422,7 @@
 		g := &result.Groups[i]
 		g.Outcomes[t.Outcome]++
 		if t.Outcome == Served {
-			_ = g.Latency.RecordValue(max(1, t.EndedAt.Sub(t.SentAt).Microseconds())) // past a minute it is not served
+			_ = g.Latency.RecordValue(max(1, t.EndedAt.Sub(t.SentAt).Microseconds())) // fails above one minute; no such attempt is served
 		}
 	}
 	slices.SortFunc(result.Groups, func(a, b Group) int {
@@ -427,10 +430,10 @@
 	})
 }
 
-// maxShownViolations is how many breaches of a rule are printed.
+// maxShownViolations is how many violations of a rule are printed.
 const maxShownViolations = 15
 
-// Write prints the verdict. Its last line is the sum.
+// Write prints the result. Its last line is the summary.
 func (result *Result) Write(w io.Writer) error {
 	var err error
 	p := func(format string, args ...any) {
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -12,8 +12,8 @@
 
 func at(s float64) time.Time { return t0.Add(time.Duration(s * 1e9)) }
 
-// clean is a record in which all rules are kept.
-func clean() *Record {
+// cleanRecord returns a record in which all rules are kept.
+func cleanRecord() *Record {
 	return &Record{
 		Classes: []policy.Class{{Name: "read", DeadlineS: 2, Effect: policy.Safe},
 			{Name: "put", DeadlineS: 4, Effect: policy.Keyed, KeyScope: policy.ScopeZone, KeyTTLS: 7.5},
@@ -39,25 +39,25 @@
 	}
 }
 
-func TestJudge(t *testing.T) {
-	if v := Evaluate(clean()); !v.Kept() || v.Requests != 4 {
+func TestEvaluate(t *testing.T) {
+	if v := Evaluate(cleanRecord()); !v.Kept() || v.Requests != 4 {
 		t.Fatalf("a clean record: %+v", v.Violations)
 	}
 	for name, change := range map[string]func(*Record){
-		"answered when it went on": func(r *Record) { r.Pauses, r.Attempts[0].EndedAt = []Pause{{From: at(1.05), To: at(6)}}, at(6.1) },
-		"two stalls": func(r *Record) {
+		"answered after the pause": func(r *Record) { r.Pauses, r.Attempts[0].EndedAt = []Pause{{From: at(1.05), To: at(6)}}, at(6.1) },
+		"two pauses": func(r *Record) {
 			r.Pauses, r.Attempts[0].EndedAt = []Pause{{From: at(6.05), To: at(9)}, {From: at(1.05), To: at(6)}}, at(9.1)
 		},
-		"held on the way to the box": func(r *Record) {
+		"network to the server held": func(r *Record) {
 			r.Pauses, r.Arrivals[1].At = []Pause{{Server: "b2", From: at(1.05), To: at(1.6), Network: true}}, at(1.62)
 		},
-		"held on the wire": func(r *Record) {
+		"network to the clients held": func(r *Record) {
 			r.Pauses, r.Attempts[0].EndedAt = []Pause{{From: at(1.01), To: at(4), Network: true}}, at(4.5)
 			r.Arrivals[0].At, r.Arrivals[1].At = at(4.1), at(4.2)
 			r.Pushes, r.Acknowledgements = r.Pushes[:1], r.Acknowledgements[:1]
 		},
 	} {
-		r := clean()
+		r := cleanRecord()
 		change(r)
 		if v := Evaluate(r); !v.Kept() {
 			t.Errorf("%s: %v", name, v.Violations)
@@ -67,42 +67,42 @@
 		rule   Rule
 		change func(*Record)
 	}{
-		"no answer":         {NoRequestLost, func(r *Record) { r.Attempts[0].Outcome = Unanswered }},
-		"late answer":       {NoRequestLost, func(r *Record) { r.Attempts[0].EndedAt = at(3.5) }},
-		"two answers":       {NoRequestLost, func(r *Record) { r.Attempts[0].ExtraAnswers = 1 }},
-		"connection closed": {NoRequestLost, func(r *Record) { r.Attempts[3].Excused = false }},
-		"sent after answer": {NoRequestLost, func(r *Record) { r.Arrivals[1].At = at(1.5) }},
-		"another's answer":  {NoRequestLost, func(r *Record) { r.Attempts[0].WrongAnswer = true }},
-		"sent past its time": {NoRequestLost, func(r *Record) {
+		"no answer":                 {NoRequestLost, func(r *Record) { r.Attempts[0].Outcome = Unanswered }},
+		"late answer":               {NoRequestLost, func(r *Record) { r.Attempts[0].EndedAt = at(3.5) }},
+		"two answers":               {NoRequestLost, func(r *Record) { r.Attempts[0].ExtraAnswers = 1 }},
+		"connection closed":         {NoRequestLost, func(r *Record) { r.Attempts[3].Excused = false }},
+		"sent after answer":         {NoRequestLost, func(r *Record) { r.Arrivals[1].At = at(1.5) }},
+		"answer of another attempt": {NoRequestLost, func(r *Record) { r.Attempts[0].WrongAnswer = true }},
+		"sent past its deadline": {NoRequestLost, func(r *Record) {
 			r.Attempts[0].Outcome, r.Attempts[0].Excused, r.Arrivals[1].At = ConnectionLost, true, at(3.3)
 		}},
-		"late after a stall": {NoRequestLost, func(r *Record) {
+		"late after a pause": {NoRequestLost, func(r *Record) {
 			r.Pauses, r.Attempts[0].EndedAt = []Pause{{From: at(1.05), To: at(6)}}, at(6.3)
 		}},
-		"sent after answer, another's wire held": {NoRequestLost, func(r *Record) {
+		"sent after answer, network to another server held": {NoRequestLost, func(r *Record) {
 			r.Pauses, r.Arrivals[1].At = []Pause{{Server: "b1", From: at(1.05), To: at(1.6), Network: true}}, at(1.62)
 		}},
-		"sent late in a stall": {NoRequestLost, func(r *Record) { // what the instance held is past its deadline whatever stood still
+		"sent late after a pause": {NoRequestLost, func(r *Record) { // a request that the instance kept is past its deadline in spite of the pause
 			r.Pauses, r.Attempts[0].EndedAt = []Pause{{From: at(1.05), To: at(6)}}, at(6.1)
 			r.Arrivals[1].At, r.Acknowledgements = at(6.05), r.Acknowledgements[:1]
 		}},
-		"work of no client":    {NoRequestLost, func(r *Record) { r.Arrivals[1].AttemptID = "zz" }},
+		"attempt of no client": {NoRequestLost, func(r *Record) { r.Arrivals[1].AttemptID = "zz" }},
 		"unsafe ran twice":     {NoEffectTwice, func(r *Record) { r.Arrivals = append(r.Arrivals, r.Arrivals[3]) }},
 		"key ran twice":        {NoEffectTwice, func(r *Record) { r.Arrivals = append(r.Arrivals, r.Arrivals[2]) }},
 		"refused after it ran": {NoEffectTwice, func(r *Record) { r.Attempts[2].Outcome = Refused }},
-		"told off": {DrainsKept, func(r *Record) {
+		"server drained": {DrainsKept, func(r *Record) {
 			a := r.Arrivals[1]
 			a.At, a.AttemptID = at(8.05), "r2"
 			r.Arrivals = append(r.Arrivals, a)
 		}},
-		"pushed over": {NoColdServerOverloaded, func(r *Record) { r.Overloads = []Overload{{at(3), "b1"}} }},
+		"server overloaded": {NoColdServerOverloaded, func(r *Record) { r.Overloads = []Overload{{at(3), "b1"}} }},
 		"over the ceiling": {CeilingsKept, func(r *Record) {
 			for i := range r.Attempts[:3] {
 				r.Attempts[i].Units = 5
 			}
 		}},
 	} {
-		r := clean()
+		r := cleanRecord()
 		c.change(r)
 		v := Evaluate(r)
 		for rule, list := range v.Violations {
@@ -118,12 +118,13 @@
 	}
 }
 
-// Work within the grace, to a box that came back meanwhile, or from an instance that began anew is no breach.
+// Work within the grace period, to a server that is in use again, or from an instance that was restarted is no
+// violation.
 func TestDrainGrace(t *testing.T) {
 	for name, change := range map[string]func(*Record){
 		"within the grace": func(r *Record) { r.Arrivals[1].At = at(1.1) },
-		"back again": func(r *Record) {
-			r.Pushes[2].At = at(8.04) // acted on before its acknowledgement is seen
+		"in use again": func(r *Record) {
+			r.Pushes[2].At = at(8.04) // acted on before its acknowledgement is observed
 			a := r.Arrivals[1]
 			a.At, a.AttemptID = at(8.05), "r2"
 			r.Arrivals = append(r.Arrivals, a)
@@ -135,7 +136,7 @@
 			r.Arrivals = append(r.Arrivals, a)
 		},
 	} {
-		r := clean()
+		r := cleanRecord()
 		change(r)
 		if v := Evaluate(r); !v.Kept() {
 			t.Errorf("%s: %v", name, v.Violations)
