--- a/internal/day/clients.go
+++ b/internal/day/clients.go
@@ -65,7 +65,7 @@
 		}
 		buf = append(buf, chunk[:n]...)
 		for {
-			n, err := resp.Reply(buf, resp.DefaultLimits)
+			n, err := resp.ReplyLength(buf, resp.DefaultLimits)
 			if err != nil {
 				break
 			}
@@ -370,7 +370,7 @@
 		attempt.Outcome = audit.Limited
 	default:
 		attempt.Outcome = audit.Served
-		n, _ := resp.Reply([]byte(reply), resp.DefaultLimits)
+		n, _ := resp.ReplyLength([]byte(reply), resp.DefaultLimits)
 		attempt.WrongAnswer = n != len(reply) || !isAnswer(resp.Text([]byte(reply), resp.DefaultLimits), words, attempt.Key != "")
 	}
 	if err != nil {
--- a/internal/day/fleet.go
+++ b/internal/day/fleet.go
@@ -40,10 +40,10 @@
 	clients        []*client
 	newClients     []*client // customers that appear only in a scan
 	eds            *standin.EDS
-	relay          *standin.Relay
-	ingressStreams []*standin.Stream // in front of each instance's RESP port
-	serverStreams  []*standin.Stream // in front of each server
-	servers        []*standin.Box
+	relay          *standin.DatagramRelay
+	ingressStreams []*standin.TCPRelay // in front of each instance's RESP port
+	serverStreams  []*standin.TCPRelay // in front of each server
+	servers        []*standin.Server
 	serverList     []policy.Server
 	settingsFiles  []string
 	listenAddrs    []string // RESP listen address of each instance
@@ -150,7 +150,7 @@
 			return err
 		}
 		fl.listenAddrs, peers = append(fl.listenAddrs, addr), append(peers, peer)
-		stream, err := standin.NewStream("127.0.0.1:0", addr, fl.script.Seed+uint64(len(fl.ingressStreams)))
+		stream, err := standin.NewTCPRelay("127.0.0.1:0", addr, fl.script.Seed+uint64(len(fl.ingressStreams)))
 		if err != nil {
 			return err
 		}
@@ -164,7 +164,7 @@
 		}
 	}
 	var err error
-	if fl.relay, err = standin.NewRelay(peers, fl.script.Seed); err != nil {
+	if fl.relay, err = standin.NewDatagramRelay(peers, fl.script.Seed); err != nil {
 		return err
 	}
 	if fl.config, err = config.Parse("day", fl.settings(0, peers, "127.0.0.1:1")); err != nil {
@@ -249,9 +249,9 @@
 		}
 		jobs[name] = job
 	}
-	memory := make([]*standin.Memory, fl.script.Zones)
+	memory := make([]*standin.SubmissionKeys, fl.script.Zones)
 	for i := range memory {
-		memory[i] = standin.NewMemory()
+		memory[i] = standin.NewSubmissionKeys()
 	}
 	for i := range fl.script.Servers {
 		zone := i % fl.script.Zones
@@ -263,14 +263,14 @@
 		if err != nil {
 			return err
 		}
-		stream, err := standin.NewStream(listed, addr, fl.script.Seed+100+uint64(i))
+		stream, err := standin.NewTCPRelay(listed, addr, fl.script.Seed+100+uint64(i))
 		if err != nil {
 			return err
 		}
 		fl.serverStreams = append(fl.serverStreams, stream)
-		server, err := standin.NewBox(addr, standin.BoxOptions{Name: listed, Params: params, Jobs: jobs,
-			Seed: fl.script.Seed + uint64(i), Memory: memory[zone],
-			Saw: fl.recordArrival, Extra: fl.workFactor})
+		server, err := standin.NewServer(addr, standin.ServerOptions{Name: listed, Params: params, Jobs: jobs,
+			Seed: fl.script.Seed + uint64(i), Keys: memory[zone],
+			OnArrival: fl.recordArrival, WorkFactor: fl.workFactor})
 		if err != nil {
 			return err
 		}
@@ -300,7 +300,7 @@
 	fl.outages[i] = append(fl.outages[i], outage{from: time.Now().Add(-100 * time.Millisecond),
 		to: time.Now().Add(100 * time.Millisecond)})
 	fl.mu.Unlock()
-	fl.ingressStreams[i].Sever()
+	fl.ingressStreams[i].BreakConnections()
 }
 
 // workFactor returns the factor on the work of the n-th request: one in fifty is heavy during a "heavy" fault.
@@ -316,12 +316,12 @@
 // recordArrival records a command that a server observed. Its words are: command, id or key, client, and for keyed
 // commands the id of the attempt.
 func (fl *fleet) recordArrival(seen standin.Arrival) {
-	arrival := audit.Arrival{At: seen.At, Server: seen.Box, Instance: seen.Instance, Executed: seen.Executed,
+	arrival := audit.Arrival{At: seen.At, Server: seen.Server, Instance: seen.Instance, Executed: seen.Executed,
 		AttemptID: seen.Words[1]}
 	for _, c := range fl.config.Commands {
 		if c.Name == seen.Words[0] {
 			arrival.Class = fl.config.Classes[c.Class].Name
-			if arrival.Client = seen.Words[2]; c.KeyAt > 0 {
+			if arrival.Client = seen.Words[2]; c.KeyIndex > 0 {
 				arrival.Key, arrival.AttemptID = seen.Words[1], seen.Words[3]
 			}
 		}
@@ -329,13 +329,13 @@
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	fl.arrivals = append(fl.arrivals, arrival)
-	if seen.Ruling == standin.Fell {
+	if seen.Outcome == standin.Crashed {
 		for _, overload := range fl.overloads {
-			if overload.Server == seen.Box {
+			if overload.Server == seen.Server {
 				return
 			}
 		}
-		fl.overloads = append(fl.overloads, audit.Overload{At: seen.At, Server: seen.Box})
+		fl.overloads = append(fl.overloads, audit.Overload{At: seen.At, Server: seen.Server})
 	}
 }
 
@@ -449,8 +449,8 @@
 // disturbStreams slows or stops the streams in front of instances or servers for a duration. To its clients, such an
 // instance appears to be paused.
 func (fl *fleet) disturbStreams(ctx context.Context, instances, servers []int, d time.Duration,
-	change func(stream *standin.Stream, on bool)) {
-	var streams []*standin.Stream
+	change func(stream *standin.TCPRelay, on bool)) {
+	var streams []*standin.TCPRelay
 	var pauses []audit.Pause
 	for _, i := range instances {
 		streams = append(streams, fl.ingressStreams[i])
@@ -514,7 +514,7 @@
 		pushes = append(pushes, push)
 	}
 	notices = append(notices, fl.restarts...)
-	for _, ack := range fl.eds.Told() {
+	for _, ack := range fl.eds.Acknowledgements() {
 		if ack.Error == "" && ack.Version > 0 {
 			notices = append(notices, audit.Acknowledgement{At: ack.At, Instance: ack.Node, PushIndex: ack.Version - 1})
 		}
@@ -564,7 +564,7 @@
 	if fl.relay != nil {
 		fl.relay.Close()
 	}
-	for _, list := range [][]*standin.Stream{fl.ingressStreams, fl.serverStreams} {
+	for _, list := range [][]*standin.TCPRelay{fl.ingressStreams, fl.serverStreams} {
 		for _, stream := range list {
 			stream.Close()
 		}
--- a/internal/day/play.go
+++ b/internal/day/play.go
@@ -143,7 +143,7 @@
 	}
 }
 
-func (runner *faultRunner) forEachServer(list []int, change func(*standin.Box)) {
+func (runner *faultRunner) forEachServer(list []int, change func(*standin.Server)) {
 	for _, i := range list {
 		change(runner.fleet.servers[i])
 	}
@@ -158,9 +158,9 @@
 }
 
 func (runner *faultRunner) limitPieces(maxBytes int) {
-	for _, list := range [][]*standin.Stream{runner.fleet.ingressStreams, runner.fleet.serverStreams} {
+	for _, list := range [][]*standin.TCPRelay{runner.fleet.ingressStreams, runner.fleet.serverStreams} {
 		for _, stream := range list {
-			stream.Pieces(maxBytes)
+			stream.SetMaxChunk(maxBytes)
 		}
 	}
 }
@@ -208,7 +208,7 @@
 		var list []int
 		if fault.Kind == "silent" {
 			list = runner.selectServers(n, salt)
-			runner.forEachServer(list, func(server *standin.Box) { server.Silent(true) })
+			runner.forEachServer(list, func(server *standin.Server) { server.Silent(true) })
 		} else {
 			for i := range fl.servers {
 				if i%fl.script.Zones == n {
@@ -229,12 +229,12 @@
 		return runner.restoreServers(list)
 	case "reset":
 		for _, i := range runner.selectServers(n, salt) {
-			fl.serverStreams[i].Sever()
+			fl.serverStreams[i].BreakConnections()
 		}
 	case "sever":
 		fl.resetClients(n)
 	case "hold", "hold-boxes":
-		hold := func(stream *standin.Stream, on bool) { stream.Hold(standin.Direction(salt%2), on) }
+		hold := func(stream *standin.TCPRelay, on bool) { stream.SetPaused(standin.Direction(salt%2), on) }
 		if fault.Kind == "hold" {
 			fl.disturbStreams(ctx, []int{n}, nil, fault.Duration, hold)
 		} else {
@@ -243,27 +243,27 @@
 	case "pieces":
 		return while(func() { runner.limitPieces(n) }, func() { runner.limitPieces(0) })
 	case "trickle":
-		fl.disturbStreams(ctx, indices(fl.script.Instances), indices(len(fl.servers)), fault.Duration, func(stream *standin.Stream,
+		fl.disturbStreams(ctx, indices(fl.script.Instances), indices(len(fl.servers)), fault.Duration, func(stream *standin.TCPRelay,
 			on bool) {
-			stream.Trickle(0)
+			stream.SetRate(0)
 			if on {
-				stream.Trickle(fault.Size)
+				stream.SetRate(fault.Size)
 			}
 		})
 	case "slow":
 		all := indices(len(fl.servers))
-		return while(func() { runner.forEachServer(all, func(server *standin.Box) { server.Slow(fault.Size) }) },
-			func() { runner.forEachServer(all, func(server *standin.Box) { server.Slow(1) }) })
+		return while(func() { runner.forEachServer(all, func(server *standin.Server) { server.Slow(fault.Size) }) },
+			func() { runner.forEachServer(all, func(server *standin.Server) { server.Slow(1) }) })
 	case "age":
 		list := runner.selectServers(n, salt)
 		for i := 1; i <= 10 && sleep(ctx, fault.Duration/10); i++ {
-			runner.forEachServer(list, func(server *standin.Box) { server.Slow(float64(i)) })
+			runner.forEachServer(list, func(server *standin.Server) { server.Slow(float64(i)) })
 		}
-		runner.forEachServer(list, func(server *standin.Box) { server.Slow(1) })
+		runner.forEachServer(list, func(server *standin.Server) { server.Slow(1) })
 	case "mute":
 		list := runner.selectServers(n, salt)
-		return while(func() { runner.forEachServer(list, func(server *standin.Box) { server.Mute("JOB.STATUS") }) },
-			func() { runner.forEachServer(list, func(server *standin.Box) { server.Mute("") }) })
+		return while(func() { runner.forEachServer(list, func(server *standin.Server) { server.Mute("JOB.STATUS") }) },
+			func() { runner.forEachServer(list, func(server *standin.Server) { server.Mute("") }) })
 	case "drain":
 		list := runner.selectServers(n, salt)
 		runner.setState(list, policy.Draining)
@@ -289,13 +289,13 @@
 	case "move":
 		load.moveClients(fault.Size)
 	case "lossy":
-		return while(func() { fl.relay.Lose(fault.Size) }, func() { fl.relay.Lose(0) })
+		return while(func() { fl.relay.SetLoss(fault.Size) }, func() { fl.relay.SetLoss(0) })
 	case "split":
 		parts := make([]int, fl.script.Instances)
 		for i := range parts {
 			parts[i] = i % n
 		}
-		return while(func() { fl.relay.Split(parts) }, func() { fl.relay.Split(make([]int, fl.script.Instances)) })
+		return while(func() { fl.relay.Partition(parts) }, func() { fl.relay.Partition(make([]int, fl.script.Instances)) })
 	}
 	return nil
 }
--- a/internal/day/sabotage.go
+++ b/internal/day/sabotage.go
@@ -36,14 +36,14 @@
 var hooksByRule = map[string]func() instance.Hooks{
 	// The instance treats servers that drain or have been removed as available.
 	"drain": func() instance.Hooks {
-		return instance.Hooks{Lists: func(s discovery.Sink) discovery.Sink {
+		return instance.Hooks{ServerLists: func(s discovery.Sink) discovery.Sink {
 			return &staleListSink{Sink: s, seen: map[string]policy.Server{}}
 		}}
 	},
 	// Requests are sent to a server of a second zone as well.
 	"repeat": func() instance.Hooks {
 		servers := &serverList{}
-		return instance.Hooks{Lists: servers.wrap,
+		return instance.Hooks{ServerLists: servers.wrap,
 			Backend: func(b core.Backend) core.Backend { return &duplicatingBackend{Backend: b, servers: servers} }}
 	},
 	// Every tenth call is accepted and dropped.
@@ -52,8 +52,8 @@
 	},
 	// The beginning of a command that arrives in more than one read is discarded, a fault that the front once had.
 	"input": func() instance.Hooks {
-		return instance.Hooks{Read: func(data []byte) []byte {
-			if _, _, _, err := resp.Command(data, nil, resp.DefaultLimits); errors.Is(err, resp.ErrIncomplete) {
+		return instance.Hooks{FilterInput: func(data []byte) []byte {
+			if _, _, _, err := resp.ParseCommand(data, nil, resp.DefaultLimits); errors.Is(err, resp.ErrIncomplete) {
 				return nil
 			}
 			return data
@@ -70,7 +70,7 @@
 	// A server that has just started receives all work.
 	"cold": func() instance.Hooks {
 		servers := &serverList{}
-		return instance.Hooks{Lists: servers.wrap,
+		return instance.Hooks{ServerLists: servers.wrap,
 			Backend: func(b core.Backend) core.Backend { return &newestServerBackend{Backend: b, servers: servers} }}
 	},
 }
@@ -81,7 +81,7 @@
 	seen map[string]policy.Server
 }
 
-func (sink *staleListSink) Servers(list []policy.Server, whole bool) <-chan struct{} {
+func (sink *staleListSink) UpdateServers(list []policy.Server, whole bool) <-chan struct{} {
 	for _, s := range list {
 		s.State = policy.Up
 		sink.seen[s.ID] = s
@@ -90,7 +90,7 @@
 	for _, s := range sink.seen {
 		all = append(all, s)
 	}
-	return sink.Sink.Servers(all, whole)
+	return sink.Sink.UpdateServers(all, whole)
 }
 
 // serverList keeps the list of servers that was last passed to the core.
@@ -109,11 +109,11 @@
 	servers *serverList
 }
 
-func (recorder *listRecorder) Servers(list []policy.Server, whole bool) <-chan struct{} {
+func (recorder *listRecorder) UpdateServers(list []policy.Server, whole bool) <-chan struct{} {
 	recorder.servers.mu.Lock()
 	recorder.servers.list = list
 	recorder.servers.mu.Unlock()
-	return recorder.Sink.Servers(list, whole)
+	return recorder.Sink.UpdateServers(list, whole)
 }
 
 // duplicatingBackend sends each request to a server of a second zone as well.
@@ -122,7 +122,7 @@
 	servers *serverList
 }
 
-func (backend *duplicatingBackend) Send(a core.Attempt, serverID string, payload []byte, timing policy.Timing) {
+func (backend *duplicatingBackend) Send(a core.AttemptID, serverID string, payload []byte, timing policy.Timing) {
 	backend.Backend.Send(a, serverID, payload, timing)
 	backend.servers.mu.Lock()
 	defer backend.servers.mu.Unlock()
@@ -135,7 +135,7 @@
 	for _, s := range backend.servers.list {
 		if s.Zone != zone && s.State == policy.Up && s.StartedAt == 0 {
 			// A cold server is left out: it might fail under the load, which violates another rule.
-			a.N += 100 // an index that the core doesn't know, so that it treats the answer as late
+			a.Index += 100 // an index that the core doesn't know, so that it treats the answer as late
 			backend.Backend.Send(a, s.ID, payload, timing)
 			return
 		}
@@ -166,7 +166,7 @@
 	servers *serverList
 }
 
-func (backend *newestServerBackend) Send(a core.Attempt, serverID string, payload []byte, timing policy.Timing) {
+func (backend *newestServerBackend) Send(a core.AttemptID, serverID string, payload []byte, timing policy.Timing) {
 	backend.servers.mu.Lock()
 	newest, since := "", float64(time.Now().UnixNano())/1e9-8
 	for _, s := range backend.servers.list {
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -114,13 +114,13 @@
 	script := &Script{Duration: 40 * time.Second, Rate: 300, Seed: 1, Instances: 3, Zones: 3, Servers: 12}
 	reader, root, seed := &sexp.Reader{}, file.Forms[0], 1
 	reader.Fields(root, "day", root.Args(), []sexp.Field{
-		sexp.TimeField("for", false, &script.Duration, time.Second, 24*time.Hour),
-		sexp.NumField("rate", false, &script.Rate, 1, 1e5),
+		sexp.DurationField("for", false, &script.Duration, time.Second, 24*time.Hour),
+		sexp.NumberField("rate", false, &script.Rate, 1, 1e5),
 		sexp.IntField("seed", false, &seed, 0, 1<<31),
 		sexp.IntField("instances", false, &script.Instances, 1, 64),
 		sexp.IntField("rooms", false, &script.Zones, 1, 64),
 		sexp.IntField("boxes", false, &script.Servers, 1, 1000),
-		{Name: "at", Many: true, Read: script.readFault},
+		{Name: "at", Repeatable: true, Read: script.readFault},
 	})
 	script.Seed = uint64(seed)
 	if reader.Err != nil {
@@ -158,10 +158,10 @@
 		reader.Fail(args[1], "at", "unknown fault %s, want one of: %s", args[1], strings.Join(names, " "))
 		return
 	}
-	fault.Size = reader.Number(reader.One(args[1], "SIZE"), fault.Kind, kind.minSize, kind.maxSize)
+	fault.Size = reader.Number(reader.SingleArg(args[1], "SIZE"), fault.Kind, kind.minSize, kind.maxSize)
 	switch {
 	case kind.hasDuration && len(args) == 3 && args[2].Head() == "for":
-		fault.Duration = reader.Duration(reader.One(args[2], "TIME"), "for", time.Millisecond, 24*time.Hour)
+		fault.Duration = reader.Duration(reader.SingleArg(args[2], "TIME"), "for", time.Millisecond, 24*time.Hour)
 	case kind.hasDuration:
 		reader.Fail(node, fault.Kind, "has a duration, want (for TIME)")
 	case len(args) == 3:
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -29,7 +29,7 @@
 	hold  chan struct{} // nil: taken at once
 }
 
-func (s *sink) Servers(list []policy.Server, whole bool) <-chan struct{} {
+func (s *sink) UpdateServers(list []policy.Server, whole bool) <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lists = append(s.lists, list)
@@ -69,10 +69,10 @@
 		os.Exit(m.Run())
 	case "restore":
 		s := &sink{}
-		err := discovery.NewClient(config.Discovery{Cluster: "boxes", Keep: keep}, "me", s, zerolog.Nop()).Restore(context.Background())
+		err := discovery.NewClient(config.Discovery{Cluster: "boxes", CachePath: keep}, "me", s, zerolog.Nop()).Restore(context.Background())
 		fmt.Println(len(s.last()), err)
 	default:
-		discovery.NewClient(config.Discovery{Servers: []string{child}, Cluster: "boxes", Keep: keep}, "me", &sink{}, zerolog.Nop()).Run(context.Background())
+		discovery.NewClient(config.Discovery{Servers: []string{child}, Cluster: "boxes", CachePath: keep}, "me", &sink{}, zerolog.Nop()).Run(context.Background())
 	}
 }
 
@@ -97,8 +97,8 @@
 
 func TestListIsKeptOnceTheDiskTakesIt(t *testing.T) {
 	for _, fault := range []faults.Fault{
-		{Call: faults.Write, On: "list.json", Errno: unix.ENOSPC}, {Call: faults.Fsync, On: "list.json", Errno: unix.EIO},
-		{Call: faults.Open, On: "list.json", Errno: unix.ENFILE}, {Call: faults.Rename, Errno: unix.EIO},
+		{Call: faults.Write, Target: "list.json", Errno: unix.ENOSPC}, {Call: faults.Fsync, Target: "list.json", Errno: unix.EIO},
+		{Call: faults.Open, Target: "list.json", Errno: unix.ENFILE}, {Call: faults.Rename, Errno: unix.EIO},
 	} {
 		e, err := standin.NewEDS("127.0.0.1:0", "boxes", list)
 		if err != nil {
@@ -106,9 +106,9 @@
 		}
 		defer e.Close()
 		keep := filepath.Join(t.TempDir(), "list.json")
-		fault.Share = 1
+		fault.Probability = 1
 		in, _, _ := inProcess(t, e.Addr(), keep, []faults.Call{fault.Call}, fault)
-		wait(t, func() bool { return len(e.Told()) == 1 && in.Counts()[fault.Call] > 0 })
+		wait(t, func() bool { return len(e.Acknowledgements()) == 1 && in.Counts()[fault.Call] > 0 })
 		if _, err := os.Stat(keep); err == nil {
 			t.Fatalf("kept though %s fails: the test shows nothing", fault.Call)
 		}
@@ -128,9 +128,9 @@
 	}
 	defer e.Close()
 	follow(t, e, &sink{}, keep)
-	wait(t, func() bool { return len(e.Told()) == 1 })
+	wait(t, func() bool { return len(e.Acknowledgements()) == 1 })
 	for _, fault := range []faults.Fault{{Call: faults.Open, Errno: unix.ENFILE}, {Call: faults.Open, Errno: unix.EIO}, {Call: faults.Read, Errno: unix.EIO}} {
-		fault.On, fault.Share, fault.Burst, fault.Pause = "list.json", 1, 300*time.Millisecond, time.Hour
+		fault.Target, fault.Probability, fault.Burst, fault.Pause = "list.json", 1, 300*time.Millisecond, time.Hour
 		in, cmd, out := inProcess(t, "restore", keep, []faults.Call{fault.Call}, fault)
 		if err := cmd.Wait(); err != nil {
 			t.Fatal(err)
@@ -150,7 +150,7 @@
 		}
 	}
 	s := &sink{}
-	if err := discovery.NewClient(config.Discovery{Cluster: "boxes", Keep: keep}, "me", s, zerolog.Nop()).Restore(context.Background()); err != nil || s.last() != nil {
+	if err := discovery.NewClient(config.Discovery{Cluster: "boxes", CachePath: keep}, "me", s, zerolog.Nop()).Restore(context.Background()); err != nil || s.last() != nil {
 		t.Errorf("%v, %v: want no list", err, s.last())
 	}
 	entries, err := os.ReadDir(folder)
@@ -163,7 +163,7 @@
 	{ID: "127.0.0.1:2", Zone: "b", Weight: 1, State: policy.Draining}}
 
 func follow(t *testing.T, e *standin.EDS, s *sink, keep string) *discovery.Client {
-	c := discovery.NewClient(config.Discovery{Servers: []string{"127.0.0.1:9", e.Addr()}, Cluster: "boxes", Keep: keep}, "me", s, zerolog.Nop())
+	c := discovery.NewClient(config.Discovery{Servers: []string{"127.0.0.1:9", e.Addr()}, Cluster: "boxes", CachePath: keep}, "me", s, zerolog.Nop())
 	ctx, cancel := context.WithCancel(context.Background())
 	var work sync.WaitGroup
 	work.Add(1)
@@ -188,12 +188,12 @@
 		t.Fatalf("%+v, want %+v", got, list)
 	}
 	time.Sleep(50 * time.Millisecond)
-	if n := len(e.Told()); n != 0 {
+	if n := len(e.Acknowledgements()); n != 0 {
 		t.Fatalf("%d acknowledgements before the list was in force", n)
 	}
 	close(s.hold)
-	wait(t, func() bool { return len(e.Told()) == 1 })
-	if a := e.Told()[0]; a.Node != "me" || a.Version != 1 || a.Error != "" || !c.State().Connected {
+	wait(t, func() bool { return len(e.Acknowledgements()) == 1 })
+	if a := e.Acknowledgements()[0]; a.Node != "me" || a.Version != 1 || a.Error != "" || !c.Status().Connected {
 		t.Fatalf("%+v", a)
 	}
 }
@@ -207,17 +207,17 @@
 	defer e.Close()
 	s := &sink{}
 	c := follow(t, e, s, "")
-	wait(t, func() bool { return len(e.Told()) == 1 })
+	wait(t, func() bool { return len(e.Acknowledgements()) == 1 })
 	e.Set([]policy.Server{{ID: "127.0.0.1:3"}}) // no zone
-	wait(t, func() bool { return len(e.Told()) == 2 })
-	if a := e.Told()[1]; a.Version != 1 || !strings.Contains(a.Error, "no zone") {
+	wait(t, func() bool { return len(e.Acknowledgements()) == 2 })
+	if a := e.Acknowledgements()[1]; a.Version != 1 || !strings.Contains(a.Error, "no zone") {
 		t.Fatalf("%+v", a)
 	}
-	if len(s.last()) != 2 || c.State().Nacked != 1 {
-		t.Fatalf("%+v, %+v", s.last(), c.State())
+	if len(s.last()) != 2 || c.Status().RejectedLists != 1 {
+		t.Fatalf("%+v, %+v", s.last(), c.Status())
 	}
 	e.Set(list[:1])
-	wait(t, func() bool { return len(e.Told()) == 3 && len(s.last()) == 1 })
+	wait(t, func() bool { return len(e.Acknowledgements()) == 3 && len(s.last()) == 1 })
 }
 
 // The last list is kept, found again at a start without discovery, and a damaged file is an error and no list.
@@ -229,10 +229,10 @@
 	}
 	s := &sink{}
 	follow(t, e, s, keep)
-	wait(t, func() bool { return len(e.Told()) == 1 })
+	wait(t, func() bool { return len(e.Acknowledgements()) == 1 })
 	e.Close()
 	again := &sink{}
-	c := discovery.NewClient(config.Discovery{Servers: []string{"127.0.0.1:9"}, Cluster: "boxes", Keep: keep}, "me", again, zerolog.Nop())
+	c := discovery.NewClient(config.Discovery{Servers: []string{"127.0.0.1:9"}, Cluster: "boxes", CachePath: keep}, "me", again, zerolog.Nop())
 	if err := c.Restore(context.Background()); err != nil || len(again.last()) != 2 || again.last()[1] != list[1] {
 		t.Fatalf("%v %+v", err, again.last())
 	}
@@ -245,7 +245,7 @@
 			t.Fatal(err)
 		}
 		empty := &sink{}
-		c := discovery.NewClient(config.Discovery{Keep: keep, Cluster: "boxes"}, "me", empty, zerolog.Nop())
+		c := discovery.NewClient(config.Discovery{CachePath: keep, Cluster: "boxes"}, "me", empty, zerolog.Nop())
 		if err := c.Restore(context.Background()); err == nil || empty.last() != nil {
 			t.Errorf("%q: %v, %v", bad, err, empty.last())
 		}
--- a/internal/edge/endpoints/endpoints_test.go
+++ b/internal/edge/endpoints/endpoints_test.go
@@ -213,9 +213,9 @@
 	return standin.PlatformHost{Host: id, Dial: "127.0.0.1:9", Site: "a", Health: "SERVING", Share: 1}
 }
 
-func roster(t *testing.T, hosts ...standin.PlatformHost) *standin.Roster {
+func roster(t *testing.T, hosts ...standin.PlatformHost) *standin.PlatformDiscovery {
 	t.Helper()
-	r, err := standin.NewRoster(hosts...)
+	r, err := standin.NewPlatformDiscovery(hosts...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -249,7 +249,7 @@
 	a, b := roster(t, host("s-1")), roster(t, host("s-9"))
 	c, k := follow(t, a.Addr())
 	until(t, "first list", func() bool { n, _ := k.last(); return n == 1 })
-	a.Set(host("s-1"), host("s-2"))
+	a.SetHosts(host("s-1"), host("s-2"))
 	until(t, "the change", func() bool { _, l := k.last(); return len(l.Servers) == 2 })
 	c.Move(b.Addr())
 	until(t, "the list of the new address", func() bool { _, l := k.last(); return l.Whole && len(l.Servers) == 1 && l.Servers[0].ID == "s-9" })
@@ -279,7 +279,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := roster(t, host("s-1"))
 			n := 0
-			r.Spoil(func(w http.ResponseWriter, _ *http.Request) bool {
+			r.Intercept(func(w http.ResponseWriter, _ *http.Request) bool {
 				if n++; n <= 2 {
 					spoil(w)
 				}
@@ -329,7 +329,7 @@
 		},
 	} {
 		r := roster(t, host("s-2"))
-		r.Spoil(func(w http.ResponseWriter, _ *http.Request) bool { send(w); return true })
+		r.Intercept(func(w http.ResponseWriter, _ *http.Request) bool { send(w); return true })
 		_, k := follow(t, r.Addr())
 		until(t, name, func() bool { _, l := k.last(); return len(l.Servers) == 1 && l.Servers[0].ID == "s-1" })
 	}
@@ -342,7 +342,7 @@
 	c, k := follow(t, r.Addr())
 	until(t, "a watch is open", func() bool { return len(r.Calls()) == 2 })
 	open := make(chan struct{})
-	r.Spoil(func(w http.ResponseWriter, req *http.Request) bool {
+	r.Intercept(func(w http.ResponseWriter, req *http.Request) bool {
 		if req.URL.RawQuery != "" {
 			<-open
 			fmt.Fprint(w, `{"seq":99,"whole":true,"hosts":[]}`)
@@ -350,7 +350,7 @@
 		}
 		return false
 	})
-	r.Set(host("s-1"), host("s-2"))
+	r.SetHosts(host("s-1"), host("s-2"))
 	until(t, "another watch is open", func() bool { return len(r.Calls()) == 3 })
 	c.Move(r.Addr())
 	until(t, "the whole list is asked for", func() bool { calls := r.Calls(); return len(calls) > 3 && calls[3] == "/api/targets" })
@@ -371,7 +371,7 @@
 	var mu sync.Mutex
 	var asked []time.Time
 	down := true
-	r.Spoil(func(_ http.ResponseWriter, req *http.Request) bool {
+	r.Intercept(func(_ http.ResponseWriter, req *http.Request) bool {
 		mu.Lock()
 		asked = append(asked, time.Now())
 		silent := down
