--- a/internal/day/clients.go
+++ b/internal/day/clients.go
@@ -20,46 +20,46 @@
 	"cometpond/policy"
 )
 
-// link is one client's connection to an instance. One command is out on it at a time.
-type link struct {
-	c       net.Conn
-	replies chan string
-	waiting atomic.Bool
-	extra   atomic.Int64 // answers that nobody waited for
+// clientConn is a client's connection to an instance, with one command in flight at a time.
+type clientConn struct {
+	conn         net.Conn
+	replies      chan string
+	waiting      atomic.Bool
+	extraAnswers atomic.Int64 // answers without an outstanding command
 }
 
 var errLogin = errors.New("login refused")
 
-// dial opens a connection and logs in.
-func dial(addr, client string) (*link, error) {
-	c, err := net.DialTimeout("tcp", addr, time.Second)
+// dial opens a connection to an instance and logs the client in.
+func dial(addr, client string) (*clientConn, error) {
+	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return nil, err
 	}
-	l := &link{c: c, replies: make(chan string, 1)}
-	go l.read()
-	over, stop := context.WithTimeout(context.Background(), time.Second)
+	cc := &clientConn{conn: conn, replies: make(chan string, 1)}
+	go cc.read()
+	timeout, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
-	text, err := l.ask(resp.AppendCommand(nil, "AUTH", client, daySecret), over.Done())
+	text, err := cc.ask(resp.AppendCommand(nil, "AUTH", client, clientSecret), timeout.Done())
 	if err == nil && text != "+OK\r\n" {
 		err = errLogin
 	}
 	if err != nil {
-		c.Close()
+		conn.Close()
 		return nil, err
 	}
-	return l, nil
+	return cc, nil
 }
 
-func (l *link) close() { l.c.Close() }
+func (cc *clientConn) close() { cc.conn.Close() }
 
-// read hands replies on; it ends with the connection.
-func (l *link) read() {
-	defer close(l.replies)
+// read passes replies to ask until the connection ends.
+func (cc *clientConn) read() {
+	defer close(cc.replies)
 	var buf []byte
 	chunk := make([]byte, 4096)
 	for {
-		n, err := l.c.Read(chunk)
+		n, err := cc.conn.Read(chunk)
 		if err != nil {
 			return
 		}
@@ -69,10 +69,10 @@
 			if err != nil {
 				break
 			}
-			if !l.waiting.CompareAndSwap(true, false) {
-				l.extra.Add(1)
+			if !cc.waiting.CompareAndSwap(true, false) {
+				cc.extraAnswers.Add(1)
 			} else {
-				l.replies <- string(buf[:n])
+				cc.replies <- string(buf[:n])
 			}
 			buf = buf[n:]
 		}
@@ -81,235 +81,237 @@
 
 var errNoAnswer = errors.New("no answer in time")
 
-// ask sends a command and returns its reply, unless over ends first.
-func (l *link) ask(command []byte, over <-chan struct{}) (string, error) {
-	l.waiting.Store(true)
-	if _, err := l.c.Write(command); err != nil {
+// ask sends a command and returns its reply, or errNoAnswer if the channel over is closed first.
+func (cc *clientConn) ask(command []byte, timeout <-chan struct{}) (string, error) {
+	cc.waiting.Store(true)
+	if _, err := cc.conn.Write(command); err != nil {
 		return "", err
 	}
 	select {
-	case r, ok := <-l.replies:
+	case r, ok := <-cc.replies:
 		if !ok {
 			return "", net.ErrClosed
 		}
 		return r, nil
-	case <-over:
+	case <-timeout:
 		return "", errNoAnswer
 	}
 }
 
-// load is the clients of the day.
-type load struct {
-	f     *fleet
-	rpcs  []*rpcClient // one an instance, nil without that front
-	cum   []float64    // running sum of the clients' weights
-	work  sync.WaitGroup
-	limit chan struct{} // bounds requests under way
+// loadGenerator sends the requests of all clients of a scenario.
+type loadGenerator struct {
+	fleet             *fleet
+	rpcClients        []*rpcClient // one for each instance, empty without the gRPC front
+	cumulativeWeights []float64    // running sum of the clients' weights
+	pending           sync.WaitGroup
+	inFlight          chan struct{} // bounds the requests in flight
 
-	mu     sync.Mutex
-	rng    *rand.Rand
-	idle   map[string][]*link // by client and instance
-	tries  []audit.ClientAttempt
-	factor float64 // times the usual load
-	scan   float64
-	flood  map[*client]float64 // requests a second on top
-	homes  []int
+	mu            sync.Mutex
+	rng           *rand.Rand
+	idle          map[string][]*clientConn // by client and instance
+	attempts      []audit.ClientAttempt
+	loadFactor    float64 // multiple of the usual load
+	scanShare     float64
+	floodRates    map[*client]float64 // additional requests per second
+	homeInstances []int
 }
 
-func newLoad(f *fleet) *load {
-	l := &load{f: f, rng: rand.New(rand.NewPCG(f.s.Seed, 4)), idle: map[string][]*link{}, factor: 1, flood: map[*client]float64{},
-		limit: make(chan struct{}, 1<<14)}
-	for _, addr := range f.rpcs {
-		l.rpcs = append(l.rpcs, newRPCClient(addr))
+func newLoadGenerator(fl *fleet) *loadGenerator {
+	load := &loadGenerator{fleet: fl, rng: rand.New(rand.NewPCG(fl.script.Seed, 4)), idle: map[string][]*clientConn{},
+		loadFactor: 1, floodRates: map[*client]float64{},
+		inFlight: make(chan struct{}, 1<<14)}
+	for _, addr := range fl.rpcAddrs {
+		load.rpcClients = append(load.rpcClients, newRPCClient(addr))
 	}
 	sum := 0.0
-	for _, c := range f.clients {
+	for _, c := range fl.clients {
 		sum += c.weight
-		l.cum = append(l.cum, sum)
-		l.homes = append(l.homes, c.home)
+		load.cumulativeWeights = append(load.cumulativeWeights, sum)
+		load.homeInstances = append(load.homeInstances, c.homeInstance)
 	}
-	return l
+	return load
 }
 
-// pick draws a client and its instance.
-func (l *load) pick() (*client, int) {
-	x := l.rng.Float64() * l.cum[len(l.cum)-1]
+// pickClient draws a client and the instance to which it sends a request.
+func (load *loadGenerator) pickClient() (*client, int) {
+	draw := load.rng.Float64() * load.cumulativeWeights[len(load.cumulativeWeights)-1]
 	i := 0
-	for i < len(l.cum)-1 && l.cum[i] < x {
+	for i < len(load.cumulativeWeights)-1 && load.cumulativeWeights[i] < draw {
 		i++
 	}
-	return l.f.clients[i], l.via(l.homes[i])
+	return load.fleet.clients[i], load.chooseInstance(load.homeInstances[i])
 }
 
-// via is the client's usual instance most times, else any.
-func (l *load) via(home int) int {
-	if l.rng.Float64() < 0.7 {
+// chooseInstance returns the client's home instance with a probability of 70%, else any instance.
+func (load *loadGenerator) chooseInstance(home int) int {
+	if load.rng.Float64() < 0.7 {
 		return home
 	}
-	return l.rng.IntN(l.f.s.Instances)
+	return load.rng.IntN(load.fleet.script.Instances)
 }
 
-// move turns a share of the clients to other instances.
-func (l *load) move(share float64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for i := range l.homes {
-		if l.rng.Float64() < share {
-			l.homes[i] = (l.homes[i] + 1) % l.f.s.Instances
+// moveClients changes the home instance of a share of the clients.
+func (load *loadGenerator) moveClients(share float64) {
+	load.mu.Lock()
+	defer load.mu.Unlock()
+	for i := range load.homeInstances {
+		if load.rng.Float64() < share {
+			load.homeInstances[i] = (load.homeInstances[i] + 1) % load.fleet.script.Instances
 		}
 	}
 }
 
-// run sends requests in an open loop until ctx is over, then waits for the last answers.
-func (l *load) run(ctx context.Context) {
+// run sends requests in an open loop until ctx is done, then waits for the last answers.
+func (load *loadGenerator) run(ctx context.Context) {
 	next := time.Now()
 	for n := 0; ctx.Err() == nil; n++ {
-		l.mu.Lock()
-		flood := 0.0
-		for _, r := range l.flood {
-			flood += r
+		load.mu.Lock()
+		floodRate := 0.0
+		for _, r := range load.floodRates {
+			floodRate += r
 		}
-		usual := l.f.s.Rate * l.factor
-		all := usual*(1+l.scan) + flood
-		next = next.Add(time.Duration(-math.Log(1-l.rng.Float64()) / all * 1e9))
-		x := l.rng.Float64() * all
-		c, via := l.pick()
+		usualRate := load.fleet.script.Rate * load.loadFactor
+		totalRate := usualRate*(1+load.scanShare) + floodRate
+		next = next.Add(time.Duration(-math.Log(1-load.rng.Float64()) / totalRate * 1e9))
+		draw := load.rng.Float64() * totalRate
+		c, instance := load.pickClient()
 		switch {
-		case x < flood:
-			for k, r := range l.flood {
-				if x -= r; x < 0 {
-					c, via = k, l.rng.IntN(l.f.s.Instances)
+		case draw < floodRate:
+			for conn, r := range load.floodRates {
+				if draw -= r; draw < 0 {
+					c, instance = conn, load.rng.IntN(load.fleet.script.Instances)
 					break
 				}
 			}
-		case x < flood+usual*l.scan:
-			c = l.f.fresh[l.rng.IntN(len(l.f.fresh))]
+		case draw < floodRate+usualRate*load.scanShare:
+			c = load.fleet.newClients[load.rng.IntN(len(load.fleet.newClients))]
 		}
-		class := l.rng.Float64()
-		l.mu.Unlock()
+		class := load.rng.Float64()
+		load.mu.Unlock()
 		select {
 		case <-time.After(time.Until(next)):
 		case <-ctx.Done():
 			continue
 		}
 		select {
-		case l.limit <- struct{}{}:
+		case load.inFlight <- struct{}{}:
 		default:
-			continue // more under way than this machine can hold: the load is bounded
+			continue // the limit of requests in flight that this machine can hold is reached
 		}
-		l.work.Add(1)
+		load.pending.Add(1)
 		go func() {
-			defer l.work.Done()
-			defer func() { <-l.limit }()
-			l.request(fmt.Sprintf("%s.%d", c.name, n), c, via, class)
+			defer load.pending.Done()
+			defer func() { <-load.inFlight }()
+			load.sendWithRetries(fmt.Sprintf("%s.%d", c.name, n), c, instance, class)
 		}()
 	}
-	l.work.Wait()
-	for _, r := range l.rpcs {
+	load.pending.Wait()
+	for _, r := range load.rpcClients {
 		r.close()
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, list := range l.idle {
-		for _, k := range list {
-			l.checkExtra(k)
-			k.close()
+	load.mu.Lock()
+	defer load.mu.Unlock()
+	for _, list := range load.idle {
+		for _, conn := range list {
+			load.countExtraAnswers(conn)
+			conn.close()
 		}
 	}
 }
 
-// jobs are the commands of the day with their share of the requests.
-var jobs = []struct {
+// commandMix are the commands of a scenario with their shares of the requests.
+var commandMix = []struct {
 	share float64
 	name  string
 	units float64
 }{{0.05, "CL.THROTTLE", 1}, {0.50, "JOB.STATUS", 1}, {0.22, "IMAGE.FETCH", 1}, {0.18, "SIGN.SUBMIT", 2}, {0.05, "KEY.BURN", 2}}
 
-// request is one request with its client's retries: after a refusal, or when no instance was reached or the
-// connection broke; a safe one also after a failure, and an unsafe one never when it may have been taken.
-// A submission keeps its key, and is repeated no later than the boxes remember it.
-func (l *load) request(id string, c *client, via int, draw float64) {
-	j := 0
-	for j < len(jobs)-1 && draw >= jobs[j].share {
-		draw -= jobs[j].share
-		j++
+// sendWithRetries sends one request with its client retries: after a refusal, or if no instance was reached or the
+// connection was lost; a safe request also after a failure, an unsafe one never if it may have been accepted.
+// A keyed request keeps its key and is repeated only as long as the servers remember the key.
+func (load *loadGenerator) sendWithRetries(id string, c *client, instance int, draw float64) {
+	index := 0
+	for index < len(commandMix)-1 && draw >= commandMix[index].share {
+		draw -= commandMix[index].share
+		index++
 	}
-	job := jobs[j]
+	command := commandMix[index]
 	class := policy.Class{Name: "limit", DeadlineS: 2.5}
-	for _, k := range l.f.cfg.Commands {
-		if k.Name == job.name {
-			class = l.f.cfg.Classes[k.Class]
+	for _, configured := range load.fleet.config.Commands {
+		if configured.Name == command.name {
+			class = load.fleet.config.Classes[configured.Class]
 		}
 	}
-	began := time.Now()
-	for n := range 3 {
-		if n > 0 {
-			pause := 100*time.Millisecond + time.Duration(l.float()*200e6)
+	start := time.Now()
+	for retry := range 3 {
+		if retry > 0 {
+			pause := 100*time.Millisecond + time.Duration(load.randomFloat()*200e6)
 			time.Sleep(pause)
-			limit := class.DeadlineS
+			limitS := class.DeadlineS
 			if class.Effect == policy.Keyed {
-				limit = class.KeyTTLS - 0.5
+				limitS = class.KeyTTLS - 0.5
 			}
-			if time.Since(began).Seconds() > limit {
+			if time.Since(start).Seconds() > limitS {
 				return
 			}
-			if l.float() < 0.5 {
-				via = int(l.float() * float64(l.f.s.Instances))
+			if load.randomFloat() < 0.5 {
+				instance = int(load.randomFloat() * float64(load.fleet.script.Instances))
 			}
 		}
-		t := l.try(fmt.Sprintf("%s.%d", id, n), id, c, via, job.name, job.units, class)
-		again := false
-		switch t.Outcome {
+		attempt := load.sendAttempt(fmt.Sprintf("%s.%d", id, retry), id, c, instance, command.name, command.units, class)
+		retriable := false
+		switch attempt.Outcome {
 		case audit.Refused, audit.NotConnected:
-			again = true
+			retriable = true
 		case audit.ConnectionLost:
-			again = class.Effect != policy.Unsafe
+			retriable = class.Effect != policy.Unsafe
 		case audit.Failed:
-			again = class.Effect == policy.Safe
+			retriable = class.Effect == policy.Safe
 		}
-		if !again || class.Name == "limit" {
+		if !retriable || class.Name == "limit" {
 			return
 		}
 	}
 }
 
-func (l *load) float() float64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.rng.Float64()
+func (load *loadGenerator) randomFloat() float64 {
+	load.mu.Lock()
+	defer load.mu.Unlock()
+	return load.rng.Float64()
 }
 
-// try sends one command and keeps what became of it.
-func (l *load) try(id, request string, c *client, via int, name string, units float64, class policy.Class) audit.ClientAttempt {
-	t := audit.ClientAttempt{ID: id, Client: c.name, Class: class.Name, Instance: via, Units: units, SentAt: time.Now()}
-	blob := blobs[:l.size()]
-	words := []string{name, id, c.name, blob}
+// sendAttempt sends one command and records its outcome.
+func (load *loadGenerator) sendAttempt(id, request string, c *client, instance int, name string, units float64,
+	class policy.Class) audit.ClientAttempt {
+	attempt := audit.ClientAttempt{ID: id, Client: c.name, Class: class.Name, Instance: instance, Units: units, SentAt: time.Now()}
+	argument := payload[:load.argumentSize()]
+	words := []string{name, id, c.name, argument}
 	switch {
 	case class.Name == "limit":
 		words = []string{name, c.name, "10", "10", "1", strconv.Itoa(int(units))}
 	case class.Effect == policy.Keyed:
-		t.Key = request
-		words = []string{name, request, c.name, id, blob}
+		attempt.Key = request
+		words = []string{name, request, c.name, id, argument}
 	}
 	within := time.Duration(class.DeadlineS*1e9) + time.Second
-	if l.overRPC(id) {
-		over, stop := l.f.patience(via, within)
-		t.Outcome, t.WrongAnswer = l.rpcs[via].ask(c.name, words, class.Name == "limit", over)
+	if load.usesRPC(id) {
+		timeout, stop := load.fleet.answerTimeout(instance, within)
+		attempt.Outcome, attempt.WrongAnswer = load.rpcClients[instance].ask(c.name, words, class.Name == "limit", timeout)
 		stop()
-		t.EndedAt = time.Now()
+		attempt.EndedAt = time.Now()
 	} else {
-		l.overRESP(&t, c, via, words, within)
+		load.sendRESP(&attempt, c, instance, words, within)
 	}
-	if t.Outcome == audit.ConnectionLost || t.Outcome == audit.Unanswered {
-		t.Excused = l.f.excused(via, t.SentAt, t.EndedAt)
+	if attempt.Outcome == audit.ConnectionLost || attempt.Outcome == audit.Unanswered {
+		attempt.Excused = load.fleet.wasDown(instance, attempt.SentAt, attempt.EndedAt)
 	}
-	l.keep(t)
-	return t
+	load.record(attempt)
+	return attempt
 }
 
-// overRPC tells which front a try goes through: with both, half of them each.
-func (l *load) overRPC(id string) bool {
-	switch l.f.opt.Front {
+// usesRPC reports whether an attempt uses the gRPC front. With both fronts, half of the attempts use each.
+func (load *loadGenerator) usesRPC(id string) bool {
+	switch load.fleet.options.Front {
 	case "grpc":
 		return true
 	case "both":
@@ -318,20 +320,21 @@
 	return false
 }
 
-// blobs is what arguments and replies of any size are made of.
-var blobs = strings.Repeat("0123456789abcdef\r\n*1\r\n$4\r\nPING\r\n", 400<<10/32)[:400<<10]
+// payload is the text from which arguments of any size are cut. It contains RESP commands, which a wrong parser
+// would take for input.
+var payload = strings.Repeat("0123456789abcdef\r\n*1\r\n$4\r\nPING\r\n", 400<<10/32)[:400<<10]
 
-// size draws the bytes of an argument: most are small, some are large.
-func (l *load) size() int {
-	x := l.float()
+// argumentSize draws the size of an argument in bytes: most are small, some are large.
+func (load *loadGenerator) argumentSize() int {
+	x := load.randomFloat()
 	if x < 0.9 {
 		return int(x * 200)
 	}
-	return int(math.Exp((x - 0.9) * 10 * math.Log(float64(len(blobs)))))
+	return int(math.Exp((x - 0.9) * 10 * math.Log(float64(len(payload)))))
 }
 
-// isAnswer tells whether a text is a box's answer to a command. To a repeat of a key it answers what it did first,
-// so that only the beginning is known.
+// isAnswer reports whether a text is a server's answer to a command. A repeat of a key receives the answer to the
+// first request, so that only the beginning of the text is known.
 func isAnswer(text string, words []string, keyed bool) bool {
 	head := words[0] + " done " + words[1] + " "
 	if keyed {
@@ -340,82 +343,82 @@
 	return text == head+words[3]
 }
 
-// overRESP sends a try's command and reads its answer.
-func (l *load) overRESP(t *audit.ClientAttempt, c *client, via int, words []string, within time.Duration) {
-	k, err := l.take(c, via)
+// sendRESP sends an attempt's command over RESP and reads its answer.
+func (load *loadGenerator) sendRESP(attempt *audit.ClientAttempt, c *client, instance int, words []string, within time.Duration) {
+	conn, err := load.takeConn(c, instance)
 	if err != nil {
-		t.Outcome, t.EndedAt = audit.NotConnected, time.Now()
+		attempt.Outcome, attempt.EndedAt = audit.NotConnected, time.Now()
 		return
 	}
-	t.SentAt = time.Now()
-	over, stop := l.f.patience(via, within)
-	reply, err := k.ask(resp.AppendCommand(nil, words...), over)
+	attempt.SentAt = time.Now()
+	timeout, stop := load.fleet.answerTimeout(instance, within)
+	reply, err := conn.ask(resp.AppendCommand(nil, words...), timeout)
 	stop()
-	t.EndedAt = time.Now()
+	attempt.EndedAt = time.Now()
 	switch {
 	case errors.Is(err, errNoAnswer):
-		t.Outcome = audit.Unanswered
+		attempt.Outcome = audit.Unanswered
 	case err != nil:
-		t.Outcome = audit.ConnectionLost
+		attempt.Outcome = audit.ConnectionLost
 	case strings.HasPrefix(reply, "-REFUSED"):
-		t.Outcome = audit.Refused
+		attempt.Outcome = audit.Refused
 	case strings.HasPrefix(reply, "-"):
-		t.Outcome = audit.Failed
-	case t.Class == "limit" && strings.HasPrefix(reply, "*5\r\n:0"):
-		t.Outcome = audit.Admitted
-	case t.Class == "limit":
-		t.Outcome = audit.Limited
+		attempt.Outcome = audit.Failed
+	case attempt.Class == "limit" && strings.HasPrefix(reply, "*5\r\n:0"):
+		attempt.Outcome = audit.Admitted
+	case attempt.Class == "limit":
+		attempt.Outcome = audit.Limited
 	default:
-		t.Outcome = audit.Served
+		attempt.Outcome = audit.Served
 		n, _ := resp.ReplyLength([]byte(reply), resp.DefaultLimits)
-		t.WrongAnswer = n != len(reply) || !isAnswer(resp.Text([]byte(reply), resp.DefaultLimits), words, t.Key != "")
+		attempt.WrongAnswer = n != len(reply) || !isAnswer(resp.Text([]byte(reply), resp.DefaultLimits), words, attempt.Key != "")
 	}
 	if err != nil {
-		k.close()
+		conn.close()
 		return
 	}
-	t.ExtraAnswers = int(k.extra.Swap(0))
-	l.give(c, via, k)
+	attempt.ExtraAnswers = int(conn.extraAnswers.Swap(0))
+	load.returnConn(c, instance, conn)
 }
 
-func (l *load) keep(t audit.ClientAttempt) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.tries = append(l.tries, t)
+func (load *loadGenerator) record(attempt audit.ClientAttempt) {
+	load.mu.Lock()
+	defer load.mu.Unlock()
+	load.attempts = append(load.attempts, attempt)
 }
 
-// take returns an idle connection of the client to the instance, or a new one.
-func (l *load) take(c *client, via int) (*link, error) {
-	key := c.name + "/" + strconv.Itoa(via)
-	l.mu.Lock()
-	for list := l.idle[key]; len(list) > 0; list = l.idle[key] {
-		k := list[len(list)-1]
-		l.idle[key] = list[:len(list)-1]
+// takeConn returns an idle connection of the client to the instance, or opens a new one.
+func (load *loadGenerator) takeConn(c *client, instance int) (*clientConn, error) {
+	key := c.name + "/" + strconv.Itoa(instance)
+	load.mu.Lock()
+	for list := load.idle[key]; len(list) > 0; list = load.idle[key] {
+		conn := list[len(list)-1]
+		load.idle[key] = list[:len(list)-1]
 		select {
-		case _, ok := <-k.replies:
-			if !ok { // ended while it was idle
-				k.close()
+		case _, ok := <-conn.replies:
+			if !ok { // the connection ended while it was idle
+				conn.close()
 				continue
 			}
 		default:
 		}
-		l.mu.Unlock()
-		return k, nil
+		load.mu.Unlock()
+		return conn, nil
 	}
-	l.mu.Unlock()
-	return dial(l.f.fronts[via].Addr(), c.name)
+	load.mu.Unlock()
+	return dial(load.fleet.ingressStreams[instance].Addr(), c.name)
 }
 
-func (l *load) give(c *client, via int, k *link) {
-	key := c.name + "/" + strconv.Itoa(via)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.idle[key] = append(l.idle[key], k)
+func (load *loadGenerator) returnConn(c *client, instance int, conn *clientConn) {
+	key := c.name + "/" + strconv.Itoa(instance)
+	load.mu.Lock()
+	defer load.mu.Unlock()
+	load.idle[key] = append(load.idle[key], conn)
 }
 
-// checkExtra charges answers that came on an idle connection to the last try.
-func (l *load) checkExtra(k *link) {
-	if n := k.extra.Load(); n > 0 && len(l.tries) > 0 {
-		l.tries[len(l.tries)-1].ExtraAnswers += int(n)
+// countExtraAnswers attributes answers that arrived on an idle connection to the last attempt.
+func (load *loadGenerator) countExtraAnswers(conn *clientConn) {
+	if n := conn.extraAnswers.Load(); n > 0 && len(load.attempts) > 0 {
+		load.attempts[len(load.attempts)-1].ExtraAnswers += int(n)
 	}
 }
--- a/internal/day/fleet.go
+++ b/internal/day/fleet.go
@@ -22,187 +22,189 @@
 	"cometpond/policy"
 )
 
-// client is a customer of the day.
+// client is a customer of the scenario.
 type client struct {
-	name, plan string
-	weight     float64 // share of the load
-	home       int     // the instance that it uses most
+	name, plan   string
+	weight       float64 // share of the load
+	homeInstance int     // the instance that it uses most often
 }
 
-const daySecret = "day-secret"
+const clientSecret = "day-secret"
 
-// fleet is everything that runs on the day.
+// fleet is everything that a scenario runs: instances, stand-ins and the connections between them.
 type fleet struct {
-	s       *Script
-	opt     Options
-	dir     string
-	cfg     *config.Config // of instance 0: classes, plans and commands are the same for all
-	clients []*client
-	fresh   []*client // customers that a scan brings
-	eds     *standin.EDS
-	relay   *standin.DatagramRelay
-	fronts  []*standin.TCPRelay // in front of each instance's RESP port
-	backs   []*standin.TCPRelay // in front of each box
-	boxes   []*standin.Server
-	list    []policy.Server
-	files   []string
-	listen  []string // where instances listen
-	rpcs    []string // addresses of the gRPC front, none without it
-
-	mu       sync.Mutex
-	procs    []*process
-	arrivals []audit.Arrival
-	falls    []audit.Overload
-	killed   [][]span // by instance
-	stalls   []audit.Pause
-	heavy    float64
-	restarts []audit.Acknowledgement
-	rng      *rand.Rand
+	script         *Script
+	options        Options
+	dir            string
+	config         *config.Config // of instance 0: classes, plans and commands are the same for all
+	clients        []*client
+	newClients     []*client // customers that appear only in a scan
+	eds            *standin.EDS
+	relay          *standin.DatagramRelay
+	ingressStreams []*standin.TCPRelay // in front of each instance's RESP port
+	serverStreams  []*standin.TCPRelay // in front of each server
+	servers        []*standin.Server
+	serverList     []policy.Server
+	settingsFiles  []string
+	listenAddrs    []string // RESP listen address of each instance
+	rpcAddrs       []string // gRPC listen address of each instance, empty without that front
+
+	mu          sync.Mutex
+	processes   []*process
+	arrivals    []audit.Arrival
+	overloads   []audit.Overload
+	outages     [][]outage // by instance
+	pauses      []audit.Pause
+	heavyFactor float64
+	restarts    []audit.Acknowledgement
+	rng         *rand.Rand
 }
 
-// span is a time in which an instance was down, and a little more.
-type span struct{ from, to time.Time }
+// outage is a period in which an instance or its connections were down, with a margin.
+type outage struct{ from, to time.Time }
 
 type process struct {
 	cmd  *exec.Cmd
 	done chan struct{}
 }
 
-// nextPort goes through the loopback ports below those that outgoing connections take, so that an instance
-// finds its own again after a restart. Days of one process share it.
+// nextPort is the last loopback port that was tried. Ports are below the range of outgoing connections, so that an
+// instance can bind its port again after a restart. All scenarios of a process share the counter.
 var nextPort atomic.Int64
 
 func init() { nextPort.Store(int64(12000 + os.Getpid()*7%18000)) }
 
-func takePort(network string) (string, error) {
+func reservePort(network string) (string, error) {
 	for port := nextPort.Add(1); port < 32000; port = nextPort.Add(1) {
-		a := fmt.Sprintf("127.0.0.1:%d", port)
+		addr := fmt.Sprintf("127.0.0.1:%d", port)
 		if network == "udp" {
-			if c, err := net.ListenPacket("udp", a); err == nil {
-				c.Close()
-				return a, nil
+			if conn, err := net.ListenPacket("udp", addr); err == nil {
+				conn.Close()
+				return addr, nil
 			}
-		} else if l, err := net.Listen("tcp", a); err == nil {
-			l.Close()
-			return a, nil
+		} else if listener, err := net.Listen("tcp", addr); err == nil {
+			listener.Close()
+			return addr, nil
 		}
 	}
 	return "", errors.New("no free port on loopback below 32000")
 }
 
-// newFleet sets up the outside of the instances and writes their settings.
-func newFleet(s *Script, opt Options) (_ *fleet, err error) {
-	f := &fleet{s: s, opt: opt, rng: rand.New(rand.NewPCG(s.Seed, 3)),
-		killed: make([][]span, s.Instances), procs: make([]*process, s.Instances), heavy: 1}
+// newFleet starts the stand-ins around the instances and writes the settings files.
+func newFleet(script *Script, opt Options) (_ *fleet, err error) {
+	fl := &fleet{script: script, options: opt, rng: rand.New(rand.NewPCG(script.Seed, 3)),
+		outages: make([][]outage, script.Instances), processes: make([]*process, script.Instances), heavyFactor: 1}
 	defer func() {
 		if err != nil {
-			f.close()
+			fl.close()
 		}
 	}()
-	if f.dir, err = os.MkdirTemp("", "cometpond-day-"); err != nil {
+	if fl.dir, err = os.MkdirTemp("", "cometpond-day-"); err != nil {
 		return nil, fmt.Errorf("day: %w", err)
 	}
-	f.makeClients()
-	if err := f.settle(); err != nil {
+	fl.makeClients()
+	if err := fl.startStandIns(); err != nil {
 		return nil, err
 	}
-	return f, nil
+	return fl, nil
 }
 
-// makeClients draws the customers: many on a small plan, some on a large one, a few of them asking for more
-// than they have.
-func (f *fleet) makeClients() {
-	basic, premium := max(6, int(f.s.Rate*0.55)), max(2, int(f.s.Rate*0.045))
+// makeClients draws the customers: many on a small plan, some on a large one. A few request more than their
+// quota.
+func (fl *fleet) makeClients() {
+	basic, premium := max(6, int(fl.script.Rate*0.55)), max(2, int(fl.script.Rate*0.045))
 	add := func(n int, plan string, share float64) {
 		var sum float64
-		from := len(f.clients)
+		from := len(fl.clients)
 		for i := range n {
-			w := 0.5 + f.rng.Float64()
+			weight := 0.5 + fl.rng.Float64()
 			if i%10 == 9 {
-				w *= 2.5
+				weight *= 2.5
 			}
-			sum += w
-			f.clients = append(f.clients, &client{name: fmt.Sprintf("%s-%d", plan, i), plan: plan, weight: w, home: f.rng.IntN(f.s.Instances)})
+			sum += weight
+			fl.clients = append(fl.clients, &client{name: fmt.Sprintf("%s-%d", plan, i), plan: plan, weight: weight,
+				homeInstance: fl.rng.IntN(fl.script.Instances)})
 		}
-		for _, c := range f.clients[from:] {
+		for _, c := range fl.clients[from:] {
 			c.weight *= share / sum
 		}
 	}
 	add(basic, "basic", 0.63)
 	add(premium, "premium", 0.37)
 	for i := range 500 {
-		f.fresh = append(f.fresh, &client{name: fmt.Sprintf("new-%d", i), plan: "basic", home: i % f.s.Instances})
+		fl.newClients = append(fl.newClients, &client{name: fmt.Sprintf("new-%d", i), plan: "basic",
+			homeInstance: i % fl.script.Instances})
 	}
 }
 
-// settle opens the ports, starts the stand-ins and writes a settings file for each instance.
-func (f *fleet) settle() error {
+// startStandIns reserves ports, starts the stand-ins and writes a settings file for each instance.
+func (fl *fleet) startStandIns() error {
 	var peers []string
-	for range f.s.Instances {
-		a, err := takePort("tcp")
+	for range fl.script.Instances {
+		addr, err := reservePort("tcp")
 		if err != nil {
 			return err
 		}
-		p, err := takePort("udp")
+		peer, err := reservePort("udp")
 		if err != nil {
 			return err
 		}
-		f.listen, peers = append(f.listen, a), append(peers, p)
-		r, err := standin.NewTCPRelay("127.0.0.1:0", a, f.s.Seed+uint64(len(f.fronts)))
+		fl.listenAddrs, peers = append(fl.listenAddrs, addr), append(peers, peer)
+		stream, err := standin.NewTCPRelay("127.0.0.1:0", addr, fl.script.Seed+uint64(len(fl.ingressStreams)))
 		if err != nil {
 			return err
 		}
-		f.fronts = append(f.fronts, r)
-		if f.opt.Front == "grpc" || f.opt.Front == "both" {
-			g, err := takePort("tcp")
+		fl.ingressStreams = append(fl.ingressStreams, stream)
+		if fl.options.Front == "grpc" || fl.options.Front == "both" {
+			rpcAddr, err := reservePort("tcp")
 			if err != nil {
 				return err
 			}
-			f.rpcs = append(f.rpcs, g)
+			fl.rpcAddrs = append(fl.rpcAddrs, rpcAddr)
 		}
 	}
 	var err error
-	if f.relay, err = standin.NewDatagramRelay(peers, f.s.Seed); err != nil {
+	if fl.relay, err = standin.NewDatagramRelay(peers, fl.script.Seed); err != nil {
 		return err
 	}
-	if f.cfg, err = config.Parse("day", f.settings(0, peers, "127.0.0.1:1")); err != nil {
+	if fl.config, err = config.Parse("day", fl.settings(0, peers, "127.0.0.1:1")); err != nil {
 		return err
 	}
-	if err := f.startBoxes(); err != nil {
+	if err := fl.startServers(); err != nil {
 		return err
 	}
-	if f.eds, err = standin.NewEDS("127.0.0.1:0", "boxes", f.list); err != nil {
+	if fl.eds, err = standin.NewEDS("127.0.0.1:0", "boxes", fl.serverList); err != nil {
 		return err
 	}
-	for i := range f.s.Instances {
-		path := filepath.Join(f.dir, fmt.Sprintf("instance-%d.sexp", i))
-		if err := os.WriteFile(path, []byte(f.settings(i, peers, f.eds.Addr())), 0o600); err != nil {
+	for i := range fl.script.Instances {
+		path := filepath.Join(fl.dir, fmt.Sprintf("instance-%d.sexp", i))
+		if err := os.WriteFile(path, []byte(fl.settings(i, peers, fl.eds.Addr())), 0o600); err != nil {
 			return fmt.Errorf("day: %w", err)
 		}
 		if _, err := config.Load(path); err != nil {
 			return err
 		}
-		f.files = append(f.files, path)
+		fl.settingsFiles = append(fl.settingsFiles, path)
 	}
 	return nil
 }
 
-// settings is the file of one instance.
-func (f *fleet) settings(me int, peers []string, eds string) string {
-	var b strings.Builder
-	p := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
-	p(`(ingress (me %d) (zone room-%d) (listen %q) (drain 5s))`, me, me%f.s.Zones, f.listen[me])
-	p(`(instances (key "%x")`, sha256.Sum256([]byte(fmt.Sprint("day", f.s.Seed))))
+// settings returns the text of the settings file of one instance.
+func (fl *fleet) settings(me int, peers []string, eds string) string {
+	var text strings.Builder
+	printf := func(format string, args ...any) { fmt.Fprintf(&text, format+"\n", args...) }
+	printf(`(ingress (me %d) (zone room-%d) (listen %q) (drain 5s))`, me, me%fl.script.Zones, fl.listenAddrs[me])
+	printf(`(instances (key "%x")`, sha256.Sum256([]byte(fmt.Sprint("day", fl.script.Seed))))
 	for i := range peers {
-		a := peers[me]
+		addr := peers[me]
 		if i != me {
-			a = f.relay.Addr(me, i)
+			addr = fl.relay.Addr(me, i)
 		}
-		p(`  (instance %d %q)`, i, a)
+		printf(`  (instance %d %q)`, i, addr)
 	}
-	p(`)`)
-	p(`(discovery (server %q) (cluster boxes) (keep %q))`, eds, filepath.Join(f.dir, fmt.Sprintf("list-%d.json", me)))
-	p(`(classes
+	printf(`)`)
+	printf(`(discovery (server %q) (cluster boxes) (keep %q))`, eds, filepath.Join(fl.dir, fmt.Sprintf("list-%d.json", me)))
+	printf(`(classes
   (class job-status  (aim 1s)   (deadline 2.5s) (worth 3) (late-worth 0.2) (effect safe))
   (class image-fetch (aim 2.5s) (deadline 6s)   (worth 1) (late-worth 0.2) (effect safe))
   (class sign-submit (aim 3s)   (deadline 12s)  (worth 3) (effect keyed) (key-scope zone) (key-ttl 7.5s))
@@ -217,352 +219,360 @@
   (plan basic   (rate 2.6) (burst 9) (price 1.1))
   (plan premium (rate 18) (burst 36) (price 1.8) (excess-cost 0.6) (ceiling (rate 36) (burst 72) (slack 7.2))))
 (rules (answer-slack 10ms) (cold-from 0.3) (cold 10s) (fall-multiple 2) (fall 1.5s))`)
-	sum := config.HashSecret(daySecret)
-	if len(f.rpcs) > 0 {
-		p(`(grpc (listen %q) (streams 10000)
-  (domain day (secret-sha256 "%x") (unmatched refuse) (descriptor (customer client) (class job-status))))`, f.rpcs[me], sum)
+	sum := config.HashSecret(clientSecret)
+	if len(fl.rpcAddrs) > 0 {
+		printf(`(grpc (listen %q) (streams 10000)
+  (domain day (secret-sha256 "%x") (unmatched refuse) (descriptor (customer client) (class job-status))))`, fl.rpcAddrs[me], sum)
 	}
-	p(`(clients`)
-	for _, list := range [][]*client{f.clients, f.fresh} {
+	printf(`(clients`)
+	for _, list := range [][]*client{fl.clients, fl.newClients} {
 		for _, c := range list {
-			p(`  (client %s (plan %s) (secret-sha256 "%x"))`, c.name, c.plan, sum)
+			printf(`  (client %s (plan %s) (secret-sha256 "%x"))`, c.name, c.plan, sum)
 		}
 	}
-	p(`)`)
-	return b.String()
+	printf(`)`)
+	return text.String()
 }
 
-// work is the mean work of each command, seconds of a core of speed 1; the boxes' speed goes with the load,
-// so that a usual moment keeps them about 60% busy at any rate.
-var work = map[string]float64{"JOB.STATUS": 0.045, "IMAGE.FETCH": 0.09, "SIGN.SUBMIT": 0.15, "KEY.BURN": 0.06}
+// meanWorkS is the mean work of each command, in seconds of a core of speed 1. The speed of the servers is scaled
+// with the load, so that they are about 60% busy under the usual load at any rate.
+var meanWorkS = map[string]float64{"JOB.STATUS": 0.045, "IMAGE.FETCH": 0.09, "SIGN.SUBMIT": 0.15, "KEY.BURN": 0.06}
 
-func (f *fleet) startBoxes() error {
-	p := standin.DefaultParams
-	p.Speed = max(0.3, f.s.Rate/300*12/float64(f.s.Servers))
-	jobs := standin.Jobs(f.cfg, 1)
-	for name, j := range jobs {
-		j.Work, j.Echo = work[name], 3
-		if j.KeyAt > 0 {
-			j.Echo = 4
+func (fl *fleet) startServers() error {
+	params := standin.DefaultParams
+	params.Speed = max(0.3, fl.script.Rate/300*12/float64(fl.script.Servers))
+	jobs := standin.Jobs(fl.config, 1)
+	for name, job := range jobs {
+		job.Work, job.Echo = meanWorkS[name], 3
+		if job.KeyAt > 0 {
+			job.Echo = 4
 		}
-		jobs[name] = j
+		jobs[name] = job
 	}
-	memory := make([]*standin.SubmissionKeys, f.s.Zones)
+	memory := make([]*standin.SubmissionKeys, fl.script.Zones)
 	for i := range memory {
 		memory[i] = standin.NewSubmissionKeys()
 	}
-	for i := range f.s.Servers {
-		room := i % f.s.Zones
-		a, err := takePort("tcp")
+	for i := range fl.script.Servers {
+		zone := i % fl.script.Zones
+		addr, err := reservePort("tcp")
 		if err != nil {
 			return err
 		}
-		listed, err := takePort("tcp")
+		listed, err := reservePort("tcp")
 		if err != nil {
 			return err
 		}
-		r, err := standin.NewTCPRelay(listed, a, f.s.Seed+100+uint64(i))
+		stream, err := standin.NewTCPRelay(listed, addr, fl.script.Seed+100+uint64(i))
 		if err != nil {
 			return err
 		}
-		f.backs = append(f.backs, r)
-		b, err := standin.NewServer(a, standin.ServerOptions{Name: listed, Params: p, Jobs: jobs, Seed: f.s.Seed + uint64(i), Keys: memory[room],
-			OnArrival: f.saw, WorkFactor: f.extra})
+		fl.serverStreams = append(fl.serverStreams, stream)
+		server, err := standin.NewServer(addr, standin.ServerOptions{Name: listed, Params: params, Jobs: jobs,
+			Seed: fl.script.Seed + uint64(i), Keys: memory[zone],
+			OnArrival: fl.recordArrival, WorkFactor: fl.workFactor})
 		if err != nil {
 			return err
 		}
-		f.boxes = append(f.boxes, b)
-		f.list = append(f.list, policy.Server{ID: listed, Zone: fmt.Sprintf("room-%d", room), Cell: i / f.s.Zones / 2, Weight: 1})
+		fl.servers = append(fl.servers, server)
+		fl.serverList = append(fl.serverList, policy.Server{ID: listed, Zone: fmt.Sprintf("room-%d", zone),
+			Cell: i / fl.script.Zones / 2, Weight: 1})
 	}
 	return nil
 }
 
-// down takes a box from the network, and up brings it back cold.
-func (f *fleet) down(i int) {
-	f.backs[i].Down()
-	f.boxes[i].Down()
+// takeDown takes a server off the network.
+func (fl *fleet) takeDown(i int) {
+	fl.serverStreams[i].Down()
+	fl.servers[i].Down()
 }
 
-func (f *fleet) up(i int) error {
-	if err := f.boxes[i].Up(); err != nil {
+func (fl *fleet) bringUp(i int) error {
+	if err := fl.servers[i].Up(); err != nil {
 		return err
 	}
-	return f.backs[i].Up()
+	return fl.serverStreams[i].Up()
 }
 
-// sever breaks all connections of an instance's clients; what was out on them is excused.
-func (f *fleet) sever(i int) {
-	f.mu.Lock()
-	f.killed[i] = append(f.killed[i], span{from: time.Now().Add(-100 * time.Millisecond), to: time.Now().Add(100 * time.Millisecond)})
-	f.mu.Unlock()
-	f.fronts[i].BreakConnections()
+// resetClients resets all connections of an instance's clients. Requests in flight on them are excused.
+func (fl *fleet) resetClients(i int) {
+	fl.mu.Lock()
+	fl.outages[i] = append(fl.outages[i], outage{from: time.Now().Add(-100 * time.Millisecond),
+		to: time.Now().Add(100 * time.Millisecond)})
+	fl.mu.Unlock()
+	fl.ingressStreams[i].BreakConnections()
 }
 
-// extra makes one request in fifty heavy while the script says so.
-func (f *fleet) extra(n uint64) float64 {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// workFactor returns the factor on the work of the n-th request: one in fifty is heavy during a "heavy" fault.
+func (fl *fleet) workFactor(n uint64) float64 {
+	fl.mu.Lock()
+	defer fl.mu.Unlock()
 	if n%50 == 0 {
-		return f.heavy
+		return fl.heavyFactor
 	}
 	return 1
 }
 
-// saw keeps what a box saw. The words are: command, id or key, client, and for keyed ones the try's id.
-func (f *fleet) saw(a standin.Arrival) {
-	r := audit.Arrival{At: a.At, Server: a.Server, Instance: a.Instance, Executed: a.Executed, AttemptID: a.Words[1]}
-	for _, c := range f.cfg.Commands {
-		if c.Name == a.Words[0] {
-			r.Class = f.cfg.Classes[c.Class].Name
-			if r.Client = a.Words[2]; c.KeyIndex > 0 {
-				r.Key, r.AttemptID = a.Words[1], a.Words[3]
+// recordArrival records a command that a server observed. Its words are: command, id or key, client, and for keyed
+// commands the id of the attempt.
+func (fl *fleet) recordArrival(seen standin.Arrival) {
+	arrival := audit.Arrival{At: seen.At, Server: seen.Server, Instance: seen.Instance, Executed: seen.Executed,
+		AttemptID: seen.Words[1]}
+	for _, c := range fl.config.Commands {
+		if c.Name == seen.Words[0] {
+			arrival.Class = fl.config.Classes[c.Class].Name
+			if arrival.Client = seen.Words[2]; c.KeyIndex > 0 {
+				arrival.Key, arrival.AttemptID = seen.Words[1], seen.Words[3]
 			}
 		}
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.arrivals = append(f.arrivals, r)
-	if a.Outcome == standin.Crashed {
-		for _, o := range f.falls {
-			if o.Server == a.Server {
+	fl.mu.Lock()
+	defer fl.mu.Unlock()
+	fl.arrivals = append(fl.arrivals, arrival)
+	if seen.Outcome == standin.Crashed {
+		for _, overload := range fl.overloads {
+			if overload.Server == seen.Server {
 				return
 			}
 		}
-		f.falls = append(f.falls, audit.Overload{At: a.At, Server: a.Server})
+		fl.overloads = append(fl.overloads, audit.Overload{At: seen.At, Server: seen.Server})
 	}
 }
 
-// start starts an instance's process.
-func (f *fleet) start(i int) error {
-	cmd := f.opt.Serve(f.files[i])
-	cmd.Stdout, cmd.Stderr = f.opt.Output, f.opt.Output
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // nothing is left behind if the day itself is killed
+// start starts the process of an instance.
+func (fl *fleet) start(i int) error {
+	cmd := fl.options.Serve(fl.settingsFiles[i])
+	cmd.Stdout, cmd.Stderr = fl.options.Output, fl.options.Output
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // instances end even if this process is killed
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("instance %d: %w", i, err)
 	}
-	p := &process{cmd, make(chan struct{})}
+	proc := &process{cmd, make(chan struct{})}
 	go func() {
-		defer close(p.done)
-		_ = cmd.Wait() // how it ended shows on the sockets
+		defer close(proc.done)
+		_ = cmd.Wait() // the exit status is checked in stop
 	}()
-	f.mu.Lock()
-	f.procs[i] = p
-	f.mu.Unlock()
+	fl.mu.Lock()
+	fl.processes[i] = proc
+	fl.mu.Unlock()
 	return nil
 }
 
-// ready waits until an instance lets a client in.
-func (f *fleet) ready(ctx context.Context, i int) error {
+// awaitReady waits until an instance accepts the login of a client.
+func (fl *fleet) awaitReady(ctx context.Context, i int) error {
 	for ctx.Err() == nil {
-		if c, err := dial(f.listen[i], f.clients[0].name); err == nil {
-			c.close()
+		if conn, err := dial(fl.listenAddrs[i], fl.clients[0].name); err == nil {
+			conn.close()
 			return nil
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return fmt.Errorf("instance %d is not ready: %w", i, ctx.Err())
+	return fmt.Errorf("instance %d did not become ready: %w", i, ctx.Err())
 }
 
-// kill ends an instance outright, and restarts it after a while.
-func (f *fleet) kill(ctx context.Context, i int, down time.Duration) error {
-	f.mu.Lock()
-	p := f.procs[i]
-	f.killed[i] = append(f.killed[i], span{from: time.Now().Add(-100 * time.Millisecond), to: time.Now().Add(time.Hour)})
-	f.mu.Unlock()
-	_ = p.cmd.Process.Kill() // it may have ended already
-	<-p.done
+// kill kills an instance with SIGKILL and restarts it after a delay.
+func (fl *fleet) kill(ctx context.Context, i int, down time.Duration) error {
+	fl.mu.Lock()
+	proc := fl.processes[i]
+	fl.outages[i] = append(fl.outages[i], outage{from: time.Now().Add(-100 * time.Millisecond), to: time.Now().Add(time.Hour)})
+	fl.mu.Unlock()
+	_ = proc.cmd.Process.Kill() // the process may have exited already
+	<-proc.done
 	select {
 	case <-time.After(down):
 	case <-ctx.Done():
 		return nil
 	}
-	f.mu.Lock()
-	f.restarts = append(f.restarts, audit.Acknowledgement{At: time.Now(), Instance: fmt.Sprintf("cometpond-%d", i), Restarted: true})
-	f.mu.Unlock()
-	if err := f.start(i); err != nil {
+	fl.mu.Lock()
+	fl.restarts = append(fl.restarts, audit.Acknowledgement{At: time.Now(), Instance: fmt.Sprintf("cometpond-%d", i),
+		Restarted: true})
+	fl.mu.Unlock()
+	if err := fl.start(i); err != nil {
 		return err
 	}
 	up, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
-	if err := f.ready(up, i); err != nil && ctx.Err() == nil {
+	if err := fl.awaitReady(up, i); err != nil && ctx.Err() == nil {
 		return err
 	}
-	f.mu.Lock()
-	f.killed[i][len(f.killed[i])-1].to = time.Now()
-	f.mu.Unlock()
+	fl.mu.Lock()
+	fl.outages[i][len(fl.outages[i])-1].to = time.Now()
+	fl.mu.Unlock()
 	return nil
 }
 
-// excused tells whether an instance was down at some time between two.
-func (f *fleet) excused(i int, from, to time.Time) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, s := range f.killed[i] {
-		if from.Before(s.to) && to.After(s.from) {
+// wasDown reports whether an instance was down at any time between two points in time.
+func (fl *fleet) wasDown(i int, from, to time.Time) bool {
+	fl.mu.Lock()
+	defer fl.mu.Unlock()
+	for _, down := range fl.outages[i] {
+		if from.Before(down.to) && to.After(down.from) {
 			return true
 		}
 	}
 	return false
 }
 
-// during keeps something up for a while and notes the stalls that it means.
-func (f *fleet) during(ctx context.Context, d time.Duration, stalls []audit.Pause, change func(on bool)) {
-	f.mu.Lock()
-	from := len(f.stalls)
-	for _, s := range stalls {
-		s.From, s.To = time.Now(), time.Now().Add(time.Hour)
-		f.stalls = append(f.stalls, s)
+// recordPausesDuring applies a change for a duration and records the pauses that it causes.
+func (fl *fleet) recordPausesDuring(ctx context.Context, d time.Duration, pauses []audit.Pause, change func(on bool)) {
+	fl.mu.Lock()
+	from := len(fl.pauses)
+	for _, pause := range pauses {
+		pause.From, pause.To = time.Now(), time.Now().Add(time.Hour)
+		fl.pauses = append(fl.pauses, pause)
 	}
-	f.mu.Unlock()
+	fl.mu.Unlock()
 	change(true)
-	pause(ctx, d)
+	sleep(ctx, d)
 	change(false)
-	f.mu.Lock()
-	for i := range stalls {
-		f.stalls[from+i].To = time.Now()
+	fl.mu.Lock()
+	for i := range pauses {
+		fl.pauses[from+i].To = time.Now()
 	}
-	f.mu.Unlock()
+	fl.mu.Unlock()
 }
 
-// stall has an instance stand still for a while.
-func (f *fleet) stall(ctx context.Context, i int, d time.Duration) {
-	f.mu.Lock()
-	p := f.procs[i]
-	f.mu.Unlock()
-	f.during(ctx, d, []audit.Pause{{Instance: i}}, func(on bool) {
+// pauseInstance pauses the process of an instance for a duration.
+func (fl *fleet) pauseInstance(ctx context.Context, i int, d time.Duration) {
+	fl.mu.Lock()
+	proc := fl.processes[i]
+	fl.mu.Unlock()
+	fl.recordPausesDuring(ctx, d, []audit.Pause{{Instance: i}}, func(on bool) {
 		signal := syscall.SIGCONT
 		if on {
 			signal = syscall.SIGSTOP
 		}
-		_ = p.cmd.Process.Signal(signal) // it may have ended
+		_ = proc.cmd.Process.Signal(signal) // the process may have exited
 	})
 }
 
-// wires has the wires in front of instances or boxes carry less, or nothing, for a while. To clients an instance
-// behind one seems to stand still.
-func (f *fleet) wires(ctx context.Context, instances, boxes []int, d time.Duration, change func(r *standin.TCPRelay, on bool)) {
-	var list []*standin.TCPRelay
-	var stalls []audit.Pause
+// disturbStreams slows or stops the streams in front of instances or servers for a duration. To its clients, such an
+// instance appears to be paused.
+func (fl *fleet) disturbStreams(ctx context.Context, instances, servers []int, d time.Duration,
+	change func(stream *standin.TCPRelay, on bool)) {
+	var streams []*standin.TCPRelay
+	var pauses []audit.Pause
 	for _, i := range instances {
-		list = append(list, f.fronts[i])
-		stalls = append(stalls, audit.Pause{Instance: i, Network: true})
+		streams = append(streams, fl.ingressStreams[i])
+		pauses = append(pauses, audit.Pause{Instance: i, Network: true})
 	}
-	for _, i := range boxes {
-		list = append(list, f.backs[i])
-		stalls = append(stalls, audit.Pause{Server: f.backs[i].Addr(), Network: true})
+	for _, i := range servers {
+		streams = append(streams, fl.serverStreams[i])
+		pauses = append(pauses, audit.Pause{Server: fl.serverStreams[i].Addr(), Network: true})
 	}
-	f.during(ctx, d, stalls, func(on bool) {
-		for _, r := range list {
-			change(r, on)
+	fl.recordPausesDuring(ctx, d, pauses, func(on bool) {
+		for _, stream := range streams {
+			change(stream, on)
 		}
 	})
 }
 
-// standing tells whether an instance stands still, or did a moment ago.
-func (f *fleet) standing(i int) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, s := range f.stalls {
-		if s.Server == "" && s.Instance == i && time.Since(s.To) < time.Second {
+// recentlyPaused reports whether an instance is paused, or was within the last second.
+func (fl *fleet) recentlyPaused(i int) bool {
+	fl.mu.Lock()
+	defer fl.mu.Unlock()
+	for _, pause := range fl.pauses {
+		if pause.Server == "" && pause.Instance == i && time.Since(pause.To) < time.Second {
 			return true
 		}
 	}
 	return false
 }
 
-// patience is over after a while, or a second after its instance went on if that stood still meanwhile.
-func (f *fleet) patience(i int, within time.Duration) (over <-chan struct{}, stop func()) {
+// answerTimeout returns a channel that is closed after a duration or, if the instance was paused meanwhile, a second
+// after it resumed.
+func (fl *fleet) answerTimeout(i int, within time.Duration) (over <-chan struct{}, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var check func()
-	t := time.AfterFunc(within, func() { check() })
+	timer := time.AfterFunc(within, func() { check() })
 	check = func() {
-		if f.standing(i) {
-			t.Reset(50 * time.Millisecond)
+		if fl.recentlyPaused(i) {
+			timer.Reset(50 * time.Millisecond)
 		} else {
 			cancel()
 		}
 	}
-	return ctx.Done(), func() { t.Stop(); cancel() }
+	return ctx.Done(), func() { timer.Stop(); cancel() }
 }
 
-// push tells discovery of the list as it stands now.
-func (f *fleet) push(change func(list []policy.Server)) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	change(f.list)
-	f.eds.Set(f.list)
+// updateServerList changes the list of servers and publishes it through the discovery server.
+func (fl *fleet) updateServerList(change func(list []policy.Server)) {
+	fl.mu.Lock()
+	defer fl.mu.Unlock()
+	change(fl.serverList)
+	fl.eds.Set(fl.serverList)
 }
 
-// told is what the discovery server offered, and saw the instances acknowledge.
-func (f *fleet) told() (pushes []audit.Push, notices []audit.Acknowledgement) {
-	lists, at := f.eds.Pushed()
+// listHistory returns the lists that the discovery server offered and the acknowledgements that it received.
+func (fl *fleet) listHistory() (pushes []audit.Push, notices []audit.Acknowledgement) {
+	lists, at := fl.eds.Pushed()
 	for i, list := range lists {
-		p := audit.Push{At: at[i], Up: map[string]bool{}}
-		for _, s := range list {
-			p.Up[s.ID] = s.State == policy.Up
+		push := audit.Push{At: at[i], Up: map[string]bool{}}
+		for _, server := range list {
+			push.Up[server.ID] = server.State == policy.Up
 		}
-		pushes = append(pushes, p)
+		pushes = append(pushes, push)
 	}
-	notices = append(notices, f.restarts...)
-	for _, t := range f.eds.Acknowledgements() {
-		if t.Error == "" && t.Version > 0 {
-			notices = append(notices, audit.Acknowledgement{At: t.At, Instance: t.Node, PushIndex: t.Version - 1})
+	notices = append(notices, fl.restarts...)
+	for _, ack := range fl.eds.Acknowledgements() {
+		if ack.Error == "" && ack.Version > 0 {
+			notices = append(notices, audit.Acknowledgement{At: ack.At, Instance: ack.Node, PushIndex: ack.Version - 1})
 		}
 	}
 	return pushes, notices
 }
 
-// stop ends the instances by SIGTERM and tells whether each left with exit code 0.
-func (f *fleet) stop() error {
-	f.mu.Lock()
-	procs := append([]*process(nil), f.procs...)
-	f.mu.Unlock()
-	for _, p := range procs {
-		if p != nil {
-			_ = p.cmd.Process.Signal(syscall.SIGTERM)
+// stop ends the instances with SIGTERM and returns an error unless each exits with code 0.
+func (fl *fleet) stop() error {
+	fl.mu.Lock()
+	processes := append([]*process(nil), fl.processes...)
+	fl.mu.Unlock()
+	for _, proc := range processes {
+		if proc != nil {
+			_ = proc.cmd.Process.Signal(syscall.SIGTERM)
 		}
 	}
-	for i, p := range procs {
-		if p == nil {
+	for i, proc := range processes {
+		if proc == nil {
 			continue
 		}
 		select {
-		case <-p.done:
+		case <-proc.done:
 		case <-time.After(15 * time.Second):
-			_ = p.cmd.Process.Kill()
-			<-p.done
-			return fmt.Errorf("instance %d did not end in 15 s after SIGTERM", i)
+			_ = proc.cmd.Process.Kill()
+			<-proc.done
+			return fmt.Errorf("instance %d did not exit within 15 s after SIGTERM", i)
 		}
-		if code := p.cmd.ProcessState.ExitCode(); code != 0 {
-			return fmt.Errorf("instance %d ended with exit code %d after SIGTERM, want 0", i, code)
+		if code := proc.cmd.ProcessState.ExitCode(); code != 0 {
+			return fmt.Errorf("instance %d exited with code %d after SIGTERM, want 0", i, code)
 		}
 	}
 	return nil
 }
 
-// close ends all that is left.
-func (f *fleet) close() {
-	for _, p := range f.procs {
-		if p != nil {
-			_ = p.cmd.Process.Kill()
-			<-p.done
+// close ends all processes and stand-ins that still run and removes the files.
+func (fl *fleet) close() {
+	for _, proc := range fl.processes {
+		if proc != nil {
+			_ = proc.cmd.Process.Kill()
+			<-proc.done
 		}
 	}
-	if f.eds != nil {
-		f.eds.Close()
+	if fl.eds != nil {
+		fl.eds.Close()
 	}
-	if f.relay != nil {
-		f.relay.Close()
+	if fl.relay != nil {
+		fl.relay.Close()
 	}
-	for _, list := range [][]*standin.TCPRelay{f.fronts, f.backs} {
-		for _, r := range list {
-			r.Close()
+	for _, list := range [][]*standin.TCPRelay{fl.ingressStreams, fl.serverStreams} {
+		for _, stream := range list {
+			stream.Close()
 		}
 	}
-	for _, b := range f.boxes {
-		b.Close()
+	for _, server := range fl.servers {
+		server.Close()
 	}
-	if f.dir != "" {
-		os.RemoveAll(f.dir)
+	if fl.dir != "" {
+		os.RemoveAll(fl.dir)
 	}
 }
--- a/internal/day/play.go
+++ b/internal/day/play.go
@@ -16,76 +16,78 @@
 	"cometpond/policy"
 )
 
-// Options say how a day is played.
+// Options configure a run.
 type Options struct {
 	Serve  func(file string) *exec.Cmd // the command that runs an instance with a settings file
-	Output io.Writer                   // what the instances print
+	Output io.Writer                   // receives the output of the instances
 	Log    zerolog.Logger
-	Slack  time.Duration // the auditor's, 0 for its own
-	Front  string        // what clients speak: "resp" or "", "grpc", or "both"
+	Slack  time.Duration // audit.Record.Slack, 0 for its default
+	Front  string        // the protocol of the clients: "resp" or "", "grpc", or "both"
 }
 
-// Run plays a day and returns the verdict. An error means that the day could not be played.
-func Run(ctx context.Context, s *Script, opt Options) (*audit.Result, error) {
+// Run runs a scenario and returns the result of the audit. An error means that the scenario could not be completed.
+func Run(ctx context.Context, script *Script, opt Options) (*audit.Result, error) {
 	switch opt.Front {
 	case "", "resp", "grpc", "both":
 	default:
 		return nil, fmt.Errorf("front %q: want resp, grpc or both", opt.Front)
 	}
-	f, err := newFleet(s, opt)
+	fl, err := newFleet(script, opt)
 	if err != nil {
 		return nil, err
 	}
-	defer f.close()
-	for i := range s.Instances {
-		if err := f.start(i); err != nil {
+	defer fl.close()
+	for i := range script.Instances {
+		if err := fl.start(i); err != nil {
 			return nil, err
 		}
 	}
-	up, cancel := context.WithTimeout(ctx, 20*time.Second)
+	readyCtx, cancel := context.WithTimeout(ctx, 20*time.Second)
 	defer cancel()
-	for i := range s.Instances {
-		if err := f.ready(up, i); err != nil {
+	for i := range script.Instances {
+		if err := fl.awaitReady(readyCtx, i); err != nil {
 			return nil, err
 		}
 	}
-	opt.Log.Info().Int("instances", s.Instances).Int("boxes", s.Servers).Float64("rate", s.Rate).Dur("for", s.Duration).Msg("the day begins")
-	span, done := context.WithTimeout(ctx, s.Duration)
-	defer done()
-	l := newLoad(f)
-	p := &play{f: f, l: l, log: opt.Log, failed: make(chan error, len(s.Faults)+1)}
-	p.begin(span)
-	l.run(span)
-	p.work.Wait()
+	opt.Log.Info().Int("instances", script.Instances).Int("boxes", script.Servers).Float64("rate", script.Rate).Dur("for",
+		script.Duration).Msg("scenario started")
+	scenarioCtx, stop := context.WithTimeout(ctx, script.Duration)
+	defer stop()
+	load := newLoadGenerator(fl)
+	runner := &faultRunner{fleet: fl, load: load, log: opt.Log, errs: make(chan error, len(script.Faults)+1)}
+	runner.start(scenarioCtx)
+	load.run(scenarioCtx)
+	runner.running.Wait()
 	select {
-	case err := <-p.failed:
+	case err := <-runner.errs:
 		return nil, err
 	default:
 	}
 	if ctx.Err() != nil {
-		return nil, errors.New("the day was cut short")
+		return nil, errors.New("scenario was interrupted")
 	}
-	if err := f.stop(); err != nil {
+	if err := fl.stop(); err != nil {
 		return nil, err
 	}
-	return audit.Evaluate(p.record()), nil
+	return audit.Evaluate(runner.record()), nil
 }
 
-// play carries out the script.
-type play struct {
-	f      *fleet
-	l      *load
-	log    zerolog.Logger
-	work   sync.WaitGroup
-	failed chan error
+// faultRunner injects the faults of a script.
+type faultRunner struct {
+	fleet   *fleet
+	load    *loadGenerator
+	log     zerolog.Logger
+	running sync.WaitGroup
+	errs    chan error
 }
 
-func (p *play) record() *audit.Record {
-	f := p.f
-	r := &audit.Record{Classes: f.cfg.Classes, Plans: f.cfg.Plans, PlanOf: map[string]string{}, Attempts: p.l.tries,
-		Arrivals: f.arrivals, Overloads: f.falls, Pauses: f.stalls, DrainGrace: 2 * time.Second, Slack: f.opt.Slack}
-	r.Pushes, r.Acknowledgements = f.told()
-	for _, list := range [][]*client{f.clients, f.fresh} {
+func (runner *faultRunner) record() *audit.Record {
+	fl := runner.fleet
+	r := &audit.Record{Classes: fl.config.Classes, Plans: fl.config.Plans, PlanOf: map[string]string{},
+		Attempts: runner.load.attempts,
+		Arrivals: fl.arrivals, Overloads: fl.overloads, Pauses: fl.pauses, DrainGrace: 2 * time.Second, Slack: fl.options.Slack}
+	r.Pushes, r.Acknowledgements = fl.listHistory()
+	for _, list := range [][]*client{fl.clients, fl.newClients} {
 		for _, c := range list {
 			r.PlanOf[c.name] = c.plan
 		}
@@ -93,85 +95,85 @@
 	return r
 }
 
-// begin starts a goroutine for each trouble; they end with the day.
-func (p *play) begin(ctx context.Context) {
+// start starts a goroutine for each fault; all end with ctx.
+func (runner *faultRunner) start(ctx context.Context) {
 	start := time.Now()
-	for i, e := range p.f.s.Faults {
-		p.work.Add(1)
+	for i, fault := range runner.fleet.script.Faults {
+		runner.running.Add(1)
 		go func() {
-			defer p.work.Done()
-			if !pause(ctx, time.Until(start.Add(e.At))) {
+			defer runner.running.Done()
+			if !sleep(ctx, time.Until(start.Add(fault.At))) {
 				return
 			}
-			p.log.Info().Str("trouble", e.Kind).Float64("size", e.Size).Dur("for", e.Duration).Msg("trouble begins")
-			if err := p.trouble(ctx, e, i); err != nil {
-				p.failed <- fmt.Errorf("(%s %g) at %v: %w", e.Kind, e.Size, e.At, err)
+			runner.log.Info().Str("trouble", fault.Kind).Float64("size", fault.Size).Dur("for", fault.Duration).Msg("fault injected")
+			if err := runner.inject(ctx, fault, i); err != nil {
+				runner.errs <- fmt.Errorf("(%s %g) at %v: %w", fault.Kind, fault.Size, fault.At, err)
 			}
 		}()
 	}
 }
 
-// pause waits; false if the day is over first.
-func pause(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
+// sleep waits for a duration and returns false if ctx is done first.
+func sleep(ctx context.Context, d time.Duration) bool {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// noticeAfter is how long the list takes to tell what has become of a box.
-const noticeAfter = 500 * time.Millisecond
+// listUpdateDelay is the delay after which the list of servers reflects a failed server.
+const listUpdateDelay = 500 * time.Millisecond
 
-// some returns the indices of n boxes, others for each trouble.
-func (p *play) some(n, salt int) []int {
+// selectServers returns the indices of n servers; the salt makes them differ between faults.
+func (runner *faultRunner) selectServers(n, salt int) []int {
 	var list []int
-	for i := range min(n, len(p.f.boxes)) {
-		list = append(list, (salt*5+i*7)%len(p.f.boxes))
+	for i := range min(n, len(runner.fleet.servers)) {
+		list = append(list, (salt*5+i*7)%len(runner.fleet.servers))
 	}
 	return list
 }
 
-func (p *play) down(list []int) {
+func (runner *faultRunner) takeDown(list []int) {
 	for _, i := range list {
-		p.f.down(i)
+		runner.fleet.takeDown(i)
 	}
 }
 
-func (p *play) each(list []int, f func(*standin.Server)) {
+func (runner *faultRunner) forEachServer(list []int, change func(*standin.Server)) {
 	for _, i := range list {
-		f(p.f.boxes[i])
+		change(runner.fleet.servers[i])
 	}
 }
 
-// all returns the first n numbers.
-func all(n int) (list []int) {
+// indices returns the numbers from 0 to n-1.
+func indices(n int) (list []int) {
 	for i := range n {
 		list = append(list, i)
 	}
 	return list
 }
 
-func (p *play) pieces(most int) {
-	for _, list := range [][]*standin.TCPRelay{p.f.fronts, p.f.backs} {
-		for _, r := range list {
-			r.SetMaxChunk(most)
+func (runner *faultRunner) limitPieces(maxBytes int) {
+	for _, list := range [][]*standin.TCPRelay{runner.fleet.ingressStreams, runner.fleet.serverStreams} {
+		for _, stream := range list {
+			stream.SetMaxChunk(maxBytes)
 		}
 	}
 }
 
-// back restarts boxes cold and has the list say so.
-func (p *play) back(list []int) error {
+// restoreServers restarts servers cold and marks them as up in the list of servers.
+func (runner *faultRunner) restoreServers(list []int) error {
 	for _, i := range list {
-		if err := p.f.up(i); err != nil {
+		if err := runner.fleet.bringUp(i); err != nil {
 			return err
 		}
 	}
 	now := float64(time.Now().UnixNano()) / 1e9
-	p.f.push(func(s []policy.Server) {
+	runner.fleet.updateServerList(func(s []policy.Server) {
 		for _, i := range list {
 			s[i].State, s[i].StartedAt = policy.Up, now
 		}
@@ -179,119 +181,121 @@
 	return nil
 }
 
-func (p *play) mark(list []int, state policy.ServerState) {
-	p.f.push(func(s []policy.Server) {
+func (runner *faultRunner) setState(list []int, state policy.ServerState) {
+	runner.fleet.updateServerList(func(s []policy.Server) {
 		for _, i := range list {
 			s[i].State = state
 		}
 	})
 }
 
-// trouble carries out one event and takes it back at its end.
-func (p *play) trouble(ctx context.Context, e Fault, salt int) error {
-	f, l, n := p.f, p.l, int(e.Size)
+// inject injects one fault and reverts it at its end.
+func (runner *faultRunner) inject(ctx context.Context, fault Fault, salt int) error {
+	fl, load, n := runner.fleet, runner.load, int(fault.Size)
 	while := func(on, off func()) error {
 		on()
-		pause(ctx, e.Duration)
+		sleep(ctx, fault.Duration)
 		off()
 		return nil
 	}
-	set := func(f func()) func() { return func() { l.mu.Lock(); defer l.mu.Unlock(); f() } }
-	switch e.Kind {
+	set := func(change func()) func() { return func() { load.mu.Lock(); defer load.mu.Unlock(); change() } }
+	switch fault.Kind {
 	case "kill":
-		return f.kill(ctx, n, e.Duration)
+		return fl.kill(ctx, n, fault.Duration)
 	case "stall":
-		f.stall(ctx, n, e.Duration)
+		fl.pauseInstance(ctx, n, fault.Duration)
 	case "silent", "dark":
 		var list []int
-		if e.Kind == "silent" {
-			list = p.some(n, salt)
-			p.each(list, func(b *standin.Server) { b.Silent(true) })
+		if fault.Kind == "silent" {
+			list = runner.selectServers(n, salt)
+			runner.forEachServer(list, func(server *standin.Server) { server.Silent(true) })
 		} else {
-			for i := range f.boxes {
-				if i%f.s.Zones == n {
+			for i := range fl.servers {
+				if i%fl.script.Zones == n {
 					list = append(list, i)
 				}
 			}
-			p.down(list)
+			runner.takeDown(list)
 		}
-		if pause(ctx, min(noticeAfter, e.Duration/2)) {
-			p.mark(list, policy.Removed)
+		if sleep(ctx, min(listUpdateDelay, fault.Duration/2)) {
+			runner.setState(list, policy.Removed)
 		}
-		if !pause(ctx, e.Duration-min(noticeAfter, e.Duration/2)) {
+		if !sleep(ctx, fault.Duration-min(listUpdateDelay, fault.Duration/2)) {
 			return nil
 		}
-		if e.Kind == "silent" {
-			p.down(list)
+		if fault.Kind == "silent" {
+			runner.takeDown(list)
 		}
-		return p.back(list)
+		return runner.restoreServers(list)
 	case "reset":
-		for _, i := range p.some(n, salt) {
-			f.backs[i].BreakConnections()
+		for _, i := range runner.selectServers(n, salt) {
+			fl.serverStreams[i].BreakConnections()
 		}
 	case "sever":
-		f.sever(n)
+		fl.resetClients(n)
 	case "hold", "hold-boxes":
-		hold := func(r *standin.TCPRelay, on bool) { r.SetPaused(standin.Direction(salt%2), on) }
-		if e.Kind == "hold" {
-			f.wires(ctx, []int{n}, nil, e.Duration, hold)
+		hold := func(stream *standin.TCPRelay, on bool) { stream.SetPaused(standin.Direction(salt%2), on) }
+		if fault.Kind == "hold" {
+			fl.disturbStreams(ctx, []int{n}, nil, fault.Duration, hold)
 		} else {
-			f.wires(ctx, nil, p.some(n, salt), e.Duration, hold)
+			fl.disturbStreams(ctx, nil, runner.selectServers(n, salt), fault.Duration, hold)
 		}
 	case "pieces":
-		return while(func() { p.pieces(n) }, func() { p.pieces(0) })
+		return while(func() { runner.limitPieces(n) }, func() { runner.limitPieces(0) })
 	case "trickle":
-		f.wires(ctx, all(f.s.Instances), all(len(f.boxes)), e.Duration, func(r *standin.TCPRelay, on bool) {
-			r.SetRate(0)
+		fl.disturbStreams(ctx, indices(fl.script.Instances), indices(len(fl.servers)), fault.Duration, func(stream *standin.TCPRelay,
+			on bool) {
+			stream.SetRate(0)
 			if on {
-				r.SetRate(e.Size)
+				stream.SetRate(fault.Size)
 			}
 		})
 	case "slow":
-		every := all(len(f.boxes))
-		return while(func() { p.each(every, func(b *standin.Server) { b.Slow(e.Size) }) }, func() { p.each(every, func(b *standin.Server) { b.Slow(1) }) })
+		all := indices(len(fl.servers))
+		return while(func() { runner.forEachServer(all, func(server *standin.Server) { server.Slow(fault.Size) }) },
+			func() { runner.forEachServer(all, func(server *standin.Server) { server.Slow(1) }) })
 	case "age":
-		list := p.some(n, salt)
-		for i := 1; i <= 10 && pause(ctx, e.Duration/10); i++ {
-			p.each(list, func(b *standin.Server) { b.Slow(float64(i)) })
+		list := runner.selectServers(n, salt)
+		for i := 1; i <= 10 && sleep(ctx, fault.Duration/10); i++ {
+			runner.forEachServer(list, func(server *standin.Server) { server.Slow(float64(i)) })
 		}
-		p.each(list, func(b *standin.Server) { b.Slow(1) })
+		runner.forEachServer(list, func(server *standin.Server) { server.Slow(1) })
 	case "mute":
-		list := p.some(n, salt)
-		return while(func() { p.each(list, func(b *standin.Server) { b.Mute("JOB.STATUS") }) },
-			func() { p.each(list, func(b *standin.Server) { b.Mute("") }) })
+		list := runner.selectServers(n, salt)
+		return while(func() { runner.forEachServer(list, func(server *standin.Server) { server.Mute("JOB.STATUS") }) },
+			func() { runner.forEachServer(list, func(server *standin.Server) { server.Mute("") }) })
 	case "drain":
-		list := p.some(n, salt)
-		p.mark(list, policy.Draining)
-		if pause(ctx, e.Duration) {
-			p.mark(list, policy.Up)
+		list := runner.selectServers(n, salt)
+		runner.setState(list, policy.Draining)
+		if sleep(ctx, fault.Duration) {
+			runner.setState(list, policy.Up)
 		}
 	case "flood":
-		c := f.clients[len(f.clients)-1]
+		floodClient := fl.clients[len(fl.clients)-1]
 		rate := 0.0
-		for _, k := range f.cfg.Plans {
-			if k.Name == c.plan {
-				rate = k.Rate * e.Size
+		for _, plan := range fl.config.Plans {
+			if plan.Name == floodClient.plan {
+				rate = plan.Rate * fault.Size
 			}
 		}
-		return while(set(func() { l.flood[c] = rate }), set(func() { delete(l.flood, c) }))
+		return while(set(func() { load.floodRates[floodClient] = rate }), set(func() { delete(load.floodRates, floodClient) }))
 	case "burst":
-		return while(set(func() { l.factor = e.Size }), set(func() { l.factor = 1 }))
+		return while(set(func() { load.loadFactor = fault.Size }), set(func() { load.loadFactor = 1 }))
 	case "scan":
-		return while(set(func() { l.scan = e.Size }), set(func() { l.scan = 0 }))
+		return while(set(func() { load.scanShare = fault.Size }), set(func() { load.scanShare = 0 }))
 	case "heavy":
-		to := func(x float64) func() { return func() { f.mu.Lock(); defer f.mu.Unlock(); f.heavy = x } }
-		return while(to(e.Size), to(1))
+		to := func(x float64) func() { return func() { fl.mu.Lock(); defer fl.mu.Unlock(); fl.heavyFactor = x } }
+		return while(to(fault.Size), to(1))
 	case "move":
-		l.move(e.Size)
+		load.moveClients(fault.Size)
 	case "lossy":
-		return while(func() { f.relay.SetLoss(e.Size) }, func() { f.relay.SetLoss(0) })
+		return while(func() { fl.relay.SetLoss(fault.Size) }, func() { fl.relay.SetLoss(0) })
 	case "split":
-		part := make([]int, f.s.Instances)
-		for i := range part {
-			part[i] = i % n
+		parts := make([]int, fl.script.Instances)
+		for i := range parts {
+			parts[i] = i % n
 		}
-		return while(func() { f.relay.Partition(part) }, func() { f.relay.Partition(make([]int, f.s.Instances)) })
+		return while(func() { fl.relay.Partition(parts) }, func() { fl.relay.Partition(make([]int, fl.script.Instances)) })
 	}
 	return nil
 }
--- a/internal/day/rpc.go
+++ b/internal/day/rpc.go
@@ -22,9 +22,9 @@
 
 // rpcClient is the connection of all customers to one instance's gRPC front.
 type rpcClient struct {
-	conn   *grpc.ClientConn
-	work   pb.GatewayClient
-	limits rlsv3.RateLimitServiceClient
+	conn    *grpc.ClientConn
+	gateway pb.GatewayClient
+	limits  rlsv3.RateLimitServiceClient
 }
 
 func newRPCClient(addr string) *rpcClient {
@@ -32,21 +32,21 @@
 		grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 1.5,
 			MaxDelay: 200 * time.Millisecond}, MinConnectTimeout: time.Second}))
 	if err != nil {
-		panic(err) // an address that the day itself has made
+		panic(err) // the address was made by this package
 	}
 	return &rpcClient{conn, pb.NewGatewayClient(conn), rlsv3.NewRateLimitServiceClient(conn)}
 }
 
-func (r *rpcClient) close() { r.conn.Close() }
+func (rc *rpcClient) close() { rc.conn.Close() }
 
-// as is a context that bears a name and the day's secret.
-func as(name string, over <-chan struct{}) (context.Context, context.CancelFunc) {
+// withCredentials returns a context that carries a name and the shared secret, and that is cancelled when over is closed.
+func withCredentials(name string, done <-chan struct{}) (context.Context, context.CancelFunc) {
 	ctx := metadata.AppendToOutgoingContext(context.Background(), "authorization",
-		"Basic "+base64.StdEncoding.EncodeToString([]byte(name+":"+daySecret)))
+		"Basic "+base64.StdEncoding.EncodeToString([]byte(name+":"+clientSecret)))
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
 		select {
-		case <-over:
+		case <-done:
 			cancel()
 		case <-ctx.Done():
 		}
@@ -54,38 +54,40 @@
 	return ctx, cancel
 }
 
-// ask makes one call and tells how it ended. Whether a call whose connection broke had been taken is not known
-// to its client.
-func (r *rpcClient) ask(client string, words []string, limit bool, over <-chan struct{}) (end audit.Outcome, wrong bool) {
+// ask makes one call and returns its outcome. If the connection was lost, the client does not know whether an
+// instance received the call.
+func (rc *rpcClient) ask(client string, words []string, unitsOnly bool, timeout <-chan struct{}) (end audit.Outcome, wrong bool) {
 	var err error
-	if limit {
-		ctx, cancel := as("day", over)
+	if unitsOnly {
+		ctx, cancel := withCredentials("day", timeout)
 		defer cancel()
-		var res *rlsv3.RateLimitResponse
-		res, err = r.limits.ShouldRateLimit(ctx, &rlsv3.RateLimitRequest{Domain: "day", HitsAddend: 1,
-			Descriptors: []*ratelimitv3.RateLimitDescriptor{{Entries: []*ratelimitv3.RateLimitDescriptor_Entry{{Key: "client", Value: client}}}}})
-		if err == nil && res.GetOverallCode() == rlsv3.RateLimitResponse_OK {
+		var response *rlsv3.RateLimitResponse
+		response, err = rc.limits.ShouldRateLimit(ctx, &rlsv3.RateLimitRequest{Domain: "day", HitsAddend: 1,
+			Descriptors: []*ratelimitv3.RateLimitDescriptor{{Entries: []*ratelimitv3.RateLimitDescriptor_Entry{{Key: "client",
+				Value: client}}}}})
+		if err == nil && response.GetOverallCode() == rlsv3.RateLimitResponse_OK {
 			return audit.Admitted, false
 		} else if err == nil {
 			return audit.Limited, false
 		}
 	} else {
-		ctx, cancel := as(client, over)
+		ctx, cancel := withCredentials(client, timeout)
 		defer cancel()
-		req := &pb.DoRequest{}
-		for _, w := range words {
-			req.Words = append(req.Words, []byte(w))
+		request := &pb.DoRequest{}
+		for _, word := range words {
+			request.Words = append(request.Words, []byte(word))
 		}
-		var res *pb.DoResponse
-		if res, err = r.work.Do(ctx, req); err == nil {
-			return audit.Served, !isAnswer(resp.Text(res.GetReply(), resp.DefaultLimits), words, len(words) > 4)
+		var response *pb.DoResponse
+		if response, err = rc.gateway.Do(ctx, request); err == nil {
+			return audit.Served, !isAnswer(resp.Text(response.GetReply(), resp.DefaultLimits), words, len(words) > 4)
 		}
 	}
 	switch status.Code(err) {
 	case codes.ResourceExhausted:
 		return audit.Refused, false
 	case codes.Unavailable:
-		if strings.Contains(status.Convert(err).Message(), "while dialing") { // no connection stood: nobody took it
+		if strings.Contains(status.Convert(err).Message(),
+			"while dialing") { // no connection was established: no instance received the call
 			return audit.NotConnected, false
 		}
 		return audit.ConnectionLost, false
--- a/internal/day/sabotage.go
+++ b/internal/day/sabotage.go
@@ -17,37 +17,40 @@
 	"cometpond/policy"
 )
 
-// ViolationHooks returns hooks with which an instance breaks one rule: drain, repeat, lost, ceiling or cold; or with
-// which it loses input, "input", which breaks the rule that no request is lost. The
-// product knows nothing of them; they stand between its parts, so that the auditor can be tried.
+// ViolationHooks returns hooks with which an instance violates one rule: drain, repeat, lost, ceiling or cold; or with
+// which it loses input, "input", which violates the rule that no request is lost. They test the auditor. The hooks
+// wrap the interfaces between the parts of an instance, whose own code contains nothing of them.
 func ViolationHooks(rule string) (instance.Hooks, error) {
-	make, ok := saboteurs[rule]
+	newHooks, ok := hooksByRule[rule]
 	if !ok {
 		var names []string
-		for n := range saboteurs {
+		for n := range hooksByRule {
 			names = append(names, n)
 		}
 		sort.Strings(names)
 		return instance.Hooks{}, fmt.Errorf("sabotage %q: want %s", rule, strings.Join(names, ", "))
 	}
-	return make(), nil
+	return newHooks(), nil
 }
 
-var saboteurs = map[string]func() instance.Hooks{
-	// Boxes that drain or are gone stay up in the instance's eyes.
+var hooksByRule = map[string]func() instance.Hooks{
+	// The instance treats servers that drain or have been removed as available.
 	"drain": func() instance.Hooks {
-		return instance.Hooks{ServerLists: func(s discovery.Sink) discovery.Sink { return &deaf{Sink: s, seen: map[string]policy.Server{}} }}
+		return instance.Hooks{ServerLists: func(s discovery.Sink) discovery.Sink {
+			return &staleListSink{Sink: s, seen: map[string]policy.Server{}}
+		}}
 	},
-	// Submissions go to a second room as well.
+	// Requests are sent to a server of a second zone as well.
 	"repeat": func() instance.Hooks {
-		k := &rooms{}
-		return instance.Hooks{ServerLists: k.lists, Backend: func(b core.Backend) core.Backend { return &doubler{Backend: b, rooms: k} }}
+		servers := &serverList{}
+		return instance.Hooks{ServerLists: servers.wrap,
+			Backend: func(b core.Backend) core.Backend { return &duplicatingBackend{Backend: b, servers: servers} }}
 	},
-	// Every tenth call is taken and forgotten.
+	// Every tenth call is accepted and dropped.
 	"lost": func() instance.Hooks {
-		return instance.Hooks{Calls: func(c front.Core) front.Core { return &loser{Core: c} }}
+		return instance.Hooks{Calls: func(c front.Core) front.Core { return &droppingCore{Core: c} }}
 	},
-	// The head of a command that comes in more than one piece is thrown away, as the front once did.
+	// The beginning of a command that arrives in more than one read is discarded, a fault that the front once had.
 	"input": func() instance.Hooks {
 		return instance.Hooks{FilterInput: func(data []byte) []byte {
 			if _, _, _, err := resp.ParseCommand(data, nil, resp.DefaultLimits); errors.Is(err, resp.ErrIncomplete) {
@@ -56,7 +59,7 @@
 			return data
 		}}
 	},
-	// Quotas and ceilings are not looked at.
+	// Quotas and ceilings are not enforced.
 	"ceiling": func() instance.Hooks {
 		return instance.Hooks{Settings: func(s *policy.Settings) {
 			for i := range s.Plans {
@@ -64,82 +67,90 @@
 			}
 		}}
 	},
-	// A box that has just started gets all work.
+	// A server that has just started receives all work.
 	"cold": func() instance.Hooks {
-		k := &rooms{}
-		return instance.Hooks{ServerLists: k.lists, Backend: func(b core.Backend) core.Backend { return &crowd{Backend: b, rooms: k} }}
+		servers := &serverList{}
+		return instance.Hooks{ServerLists: servers.wrap,
+			Backend: func(b core.Backend) core.Backend { return &newestServerBackend{Backend: b, servers: servers} }}
 	},
 }
 
-type deaf struct {
+// staleListSink passes every list on with all servers ever seen marked as up.
+type staleListSink struct {
 	discovery.Sink
 	seen map[string]policy.Server
 }
 
-func (d *deaf) UpdateServers(list []policy.Server, whole bool) <-chan struct{} {
+func (sink *staleListSink) UpdateServers(list []policy.Server, whole bool) <-chan struct{} {
 	for _, s := range list {
 		s.State = policy.Up
-		d.seen[s.ID] = s
+		sink.seen[s.ID] = s
 	}
-	all := make([]policy.Server, 0, len(d.seen))
-	for _, s := range d.seen {
+	all := make([]policy.Server, 0, len(sink.seen))
+	for _, s := range sink.seen {
 		all = append(all, s)
 	}
-	return d.Sink.UpdateServers(all, whole)
+	return sink.Sink.UpdateServers(all, whole)
 }
 
-// rooms remembers the list on its way to the core.
-type rooms struct {
+// serverList keeps the list of servers that was last passed to the core.
+type serverList struct {
 	mu   sync.Mutex
 	list []policy.Server
 }
 
-func (r *rooms) lists(s discovery.Sink) discovery.Sink { return &listener{s, r} }
+func (servers *serverList) wrap(sink discovery.Sink) discovery.Sink {
+	return &listRecorder{sink, servers}
+}
 
-type listener struct {
+// listRecorder records each list of servers and passes it on.
+type listRecorder struct {
 	discovery.Sink
-	rooms *rooms
+	servers *serverList
 }
 
-func (l *listener) UpdateServers(list []policy.Server, whole bool) <-chan struct{} {
-	l.rooms.mu.Lock()
-	l.rooms.list = list
-	l.rooms.mu.Unlock()
-	return l.Sink.UpdateServers(list, whole)
+func (recorder *listRecorder) UpdateServers(list []policy.Server, whole bool) <-chan struct{} {
+	recorder.servers.mu.Lock()
+	recorder.servers.list = list
+	recorder.servers.mu.Unlock()
+	return recorder.Sink.UpdateServers(list, whole)
 }
 
-type doubler struct {
+// duplicatingBackend sends each request to a server of a second zone as well.
+type duplicatingBackend struct {
 	core.Backend
-	rooms *rooms
+	servers *serverList
 }
 
-func (d *doubler) Send(a core.AttemptID, box string, payload []byte, timing policy.Timing) {
-	d.Backend.Send(a, box, payload, timing)
-	d.rooms.mu.Lock()
-	defer d.rooms.mu.Unlock()
+func (backend *duplicatingBackend) Send(a core.AttemptID, serverID string, payload []byte, timing policy.Timing) {
+	backend.Backend.Send(a, serverID, payload, timing)
+	backend.servers.mu.Lock()
+	defer backend.servers.mu.Unlock()
 	zone := ""
-	for _, s := range d.rooms.list {
-		if s.ID == box {
+	for _, s := range backend.servers.list {
+		if s.ID == serverID {
 			zone = s.Zone
 		}
 	}
-	for _, s := range d.rooms.list {
-		if s.Zone != zone && s.State == policy.Up && s.StartedAt == 0 { // a cold one might fall over: another rule
-			a.Index += 100 // no attempt that the core knows: its answer is late
-			d.Backend.Send(a, s.ID, payload, timing)
+	for _, s := range backend.servers.list {
+		if s.Zone != zone && s.State == policy.Up && s.StartedAt == 0 {
+			// A cold server is left out: it might fail under the load, which violates another rule.
+			a.Index += 100 // an index that the core doesn't know, so that it treats the answer as late
+			backend.Backend.Send(a, s.ID, payload, timing)
 			return
 		}
 	}
 }
 
-type loser struct {
+// droppingCore accepts every tenth call without passing it on.
+type droppingCore struct {
 	front.Core
-	n atomic.Uint64
+	submitted atomic.Uint64
 }
 
-func (l *loser) Submit(calls []*core.Call) int {
+func (l *droppingCore) Submit(calls []*core.Call) int {
 	for i, c := range calls {
-		if l.n.Add(1)%10 == 0 {
+		if l.submitted.Add(1)%10 == 0 {
 			continue
 		}
 		if l.Core.Submit([]*core.Call{c}) == 0 {
@@ -149,22 +160,23 @@
 	return len(calls)
 }
 
-type crowd struct {
+// newestServerBackend sends all requests to the server that started last, within 8 s of its start.
+type newestServerBackend struct {
 	core.Backend
-	rooms *rooms
+	servers *serverList
 }
 
-func (c *crowd) Send(a core.AttemptID, box string, payload []byte, timing policy.Timing) {
-	c.rooms.mu.Lock()
+func (backend *newestServerBackend) Send(a core.AttemptID, serverID string, payload []byte, timing policy.Timing) {
+	backend.servers.mu.Lock()
 	newest, since := "", float64(time.Now().UnixNano())/1e9-8
-	for _, s := range c.rooms.list {
+	for _, s := range backend.servers.list {
 		if s.State == policy.Up && s.StartedAt > since {
 			newest, since = s.ID, s.StartedAt
 		}
 	}
-	c.rooms.mu.Unlock()
+	backend.servers.mu.Unlock()
 	if newest != "" {
-		box = newest
+		serverID = newest
 	}
-	c.Backend.Send(a, box, payload, timing)
+	backend.Backend.Send(a, serverID, payload, timing)
 }
