--- a/internal/day/fleet.go
+++ b/internal/day/fleet.go
@@ -40,10 +40,10 @@
 	clients []*client
 	fresh   []*client // customers that a scan brings
 	eds     *standin.EDS
-	relay   *standin.Relay
-	fronts  []*standin.Stream // in front of each instance's RESP port
-	backs   []*standin.Stream // in front of each box
-	boxes   []*standin.Box
+	relay   *standin.DatagramRelay
+	fronts  []*standin.TCPRelay // in front of each instance's RESP port
+	backs   []*standin.TCPRelay // in front of each box
+	boxes   []*standin.Server
 	list    []policy.Server
 	files   []string
 	listen  []string // where instances listen
@@ -148,7 +148,7 @@
 			return err
 		}
 		f.listen, peers = append(f.listen, a), append(peers, p)
-		r, err := standin.NewStream("127.0.0.1:0", a, f.s.Seed+uint64(len(f.fronts)))
+		r, err := standin.NewTCPRelay("127.0.0.1:0", a, f.s.Seed+uint64(len(f.fronts)))
 		if err != nil {
 			return err
 		}
@@ -162,7 +162,7 @@
 		}
 	}
 	var err error
-	if f.relay, err = standin.NewRelay(peers, f.s.Seed); err != nil {
+	if f.relay, err = standin.NewDatagramRelay(peers, f.s.Seed); err != nil {
 		return err
 	}
 	if f.cfg, err = config.Parse("day", f.settings(0, peers, "127.0.0.1:1")); err != nil {
@@ -247,9 +247,9 @@
 		}
 		jobs[name] = j
 	}
-	memory := make([]*standin.Memory, f.s.Rooms)
+	memory := make([]*standin.SubmissionKeys, f.s.Rooms)
 	for i := range memory {
-		memory[i] = standin.NewMemory()
+		memory[i] = standin.NewSubmissionKeys()
 	}
 	for i := range f.s.Boxes {
 		room := i % f.s.Rooms
@@ -261,13 +261,13 @@
 		if err != nil {
 			return err
 		}
-		r, err := standin.NewStream(listed, a, f.s.Seed+100+uint64(i))
+		r, err := standin.NewTCPRelay(listed, a, f.s.Seed+100+uint64(i))
 		if err != nil {
 			return err
 		}
 		f.backs = append(f.backs, r)
-		b, err := standin.NewBox(a, standin.BoxOptions{Name: listed, Params: p, Jobs: jobs, Seed: f.s.Seed + uint64(i), Memory: memory[room],
-			Saw: f.saw, Extra: f.extra})
+		b, err := standin.NewServer(a, standin.ServerOptions{Name: listed, Params: p, Jobs: jobs, Seed: f.s.Seed + uint64(i), Keys: memory[room],
+			OnArrival: f.saw, WorkFactor: f.extra})
 		if err != nil {
 			return err
 		}
@@ -295,7 +295,7 @@
 	f.mu.Lock()
 	f.killed[i] = append(f.killed[i], span{from: time.Now().Add(-100 * time.Millisecond), to: time.Now().Add(100 * time.Millisecond)})
 	f.mu.Unlock()
-	f.fronts[i].Sever()
+	f.fronts[i].BreakConnections()
 }
 
 // extra makes one request in fifty heavy while the script says so.
@@ -310,7 +310,7 @@
 
 // saw keeps what a box saw. The words are: command, id or key, client, and for keyed ones the try's id.
 func (f *fleet) saw(a standin.Arrival) {
-	r := audit.Arrival{At: a.At, Box: a.Box, Instance: a.Instance, Executed: a.Executed, Try: a.Words[1]}
+	r := audit.Arrival{At: a.At, Box: a.Server, Instance: a.Instance, Executed: a.Executed, Try: a.Words[1]}
 	for _, c := range f.cfg.Commands {
 		if c.Name == a.Words[0] {
 			r.Class = f.cfg.Classes[c.Class].Name
@@ -322,13 +322,13 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.arrivals = append(f.arrivals, r)
-	if a.Ruling == standin.Fell {
+	if a.Outcome == standin.Crashed {
 		for _, o := range f.falls {
-			if o.Box == a.Box {
+			if o.Box == a.Server {
 				return
 			}
 		}
-		f.falls = append(f.falls, audit.Fall{At: a.At, Box: a.Box})
+		f.falls = append(f.falls, audit.Fall{At: a.At, Box: a.Server})
 	}
 }
 
@@ -440,8 +440,8 @@
 
 // wires has the wires in front of instances or boxes carry less, or nothing, for a while. To clients an instance
 // behind one seems to stand still.
-func (f *fleet) wires(ctx context.Context, instances, boxes []int, d time.Duration, change func(r *standin.Stream, on bool)) {
-	var list []*standin.Stream
+func (f *fleet) wires(ctx context.Context, instances, boxes []int, d time.Duration, change func(r *standin.TCPRelay, on bool)) {
+	var list []*standin.TCPRelay
 	var stalls []audit.Stall
 	for _, i := range instances {
 		list = append(list, f.fronts[i])
@@ -504,7 +504,7 @@
 		pushes = append(pushes, p)
 	}
 	notices = append(notices, f.restarts...)
-	for _, t := range f.eds.Told() {
+	for _, t := range f.eds.Acknowledgements() {
 		if t.Error == "" && t.Version > 0 {
 			notices = append(notices, audit.Notice{At: t.At, Instance: t.Node, Push: t.Version - 1})
 		}
@@ -554,7 +554,7 @@
 	if f.relay != nil {
 		f.relay.Close()
 	}
-	for _, list := range [][]*standin.Stream{f.fronts, f.backs} {
+	for _, list := range [][]*standin.TCPRelay{f.fronts, f.backs} {
 		for _, r := range list {
 			r.Close()
 		}
--- a/internal/day/play.go
+++ b/internal/day/play.go
@@ -141,7 +141,7 @@
 	}
 }
 
-func (p *play) each(list []int, f func(*standin.Box)) {
+func (p *play) each(list []int, f func(*standin.Server)) {
 	for _, i := range list {
 		f(p.f.boxes[i])
 	}
@@ -156,9 +156,9 @@
 }
 
 func (p *play) pieces(most int) {
-	for _, list := range [][]*standin.Stream{p.f.fronts, p.f.backs} {
+	for _, list := range [][]*standin.TCPRelay{p.f.fronts, p.f.backs} {
 		for _, r := range list {
-			r.Pieces(most)
+			r.SetMaxChunk(most)
 		}
 	}
 }
@@ -206,7 +206,7 @@
 		var list []int
 		if e.Kind == "silent" {
 			list = p.some(n, salt)
-			p.each(list, func(b *standin.Box) { b.Silent(true) })
+			p.each(list, func(b *standin.Server) { b.Silent(true) })
 		} else {
 			for i := range f.boxes {
 				if i%f.s.Rooms == n {
@@ -227,12 +227,12 @@
 		return p.back(list)
 	case "reset":
 		for _, i := range p.some(n, salt) {
-			f.backs[i].Sever()
+			f.backs[i].BreakConnections()
 		}
 	case "sever":
 		f.sever(n)
 	case "hold", "hold-boxes":
-		hold := func(r *standin.Stream, on bool) { r.Hold(standin.Direction(salt%2), on) }
+		hold := func(r *standin.TCPRelay, on bool) { r.SetPaused(standin.Direction(salt%2), on) }
 		if e.Kind == "hold" {
 			f.wires(ctx, []int{n}, nil, e.For, hold)
 		} else {
@@ -241,25 +241,25 @@
 	case "pieces":
 		return while(func() { p.pieces(n) }, func() { p.pieces(0) })
 	case "trickle":
-		f.wires(ctx, all(f.s.Instances), all(len(f.boxes)), e.For, func(r *standin.Stream, on bool) {
-			r.Trickle(0)
+		f.wires(ctx, all(f.s.Instances), all(len(f.boxes)), e.For, func(r *standin.TCPRelay, on bool) {
+			r.SetRate(0)
 			if on {
-				r.Trickle(e.Size)
+				r.SetRate(e.Size)
 			}
 		})
 	case "slow":
 		every := all(len(f.boxes))
-		return while(func() { p.each(every, func(b *standin.Box) { b.Slow(e.Size) }) }, func() { p.each(every, func(b *standin.Box) { b.Slow(1) }) })
+		return while(func() { p.each(every, func(b *standin.Server) { b.Slow(e.Size) }) }, func() { p.each(every, func(b *standin.Server) { b.Slow(1) }) })
 	case "age":
 		list := p.some(n, salt)
 		for i := 1; i <= 10 && pause(ctx, e.For/10); i++ {
-			p.each(list, func(b *standin.Box) { b.Slow(float64(i)) })
+			p.each(list, func(b *standin.Server) { b.Slow(float64(i)) })
 		}
-		p.each(list, func(b *standin.Box) { b.Slow(1) })
+		p.each(list, func(b *standin.Server) { b.Slow(1) })
 	case "mute":
 		list := p.some(n, salt)
-		return while(func() { p.each(list, func(b *standin.Box) { b.Mute("JOB.STATUS") }) },
-			func() { p.each(list, func(b *standin.Box) { b.Mute("") }) })
+		return while(func() { p.each(list, func(b *standin.Server) { b.Mute("JOB.STATUS") }) },
+			func() { p.each(list, func(b *standin.Server) { b.Mute("") }) })
 	case "drain":
 		list := p.some(n, salt)
 		p.mark(list, policy.Draining)
@@ -285,13 +285,13 @@
 	case "move":
 		l.move(e.Size)
 	case "lossy":
-		return while(func() { f.relay.Lose(e.Size) }, func() { f.relay.Lose(0) })
+		return while(func() { f.relay.SetLoss(e.Size) }, func() { f.relay.SetLoss(0) })
 	case "split":
 		part := make([]int, f.s.Instances)
 		for i := range part {
 			part[i] = i % n
 		}
-		return while(func() { f.relay.Split(part) }, func() { f.relay.Split(make([]int, f.s.Instances)) })
+		return while(func() { f.relay.Partition(part) }, func() { f.relay.Partition(make([]int, f.s.Instances)) })
 	}
 	return nil
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -97,8 +97,8 @@
 
 func TestListIsKeptOnceTheDiskTakesIt(t *testing.T) {
 	for _, fault := range []faults.Fault{
-		{Call: faults.Write, On: "list.json", Errno: unix.ENOSPC}, {Call: faults.Fsync, On: "list.json", Errno: unix.EIO},
-		{Call: faults.Open, On: "list.json", Errno: unix.ENFILE}, {Call: faults.Rename, Errno: unix.EIO},
+		{Call: faults.Write, Target: "list.json", Errno: unix.ENOSPC}, {Call: faults.Fsync, Target: "list.json", Errno: unix.EIO},
+		{Call: faults.Open, Target: "list.json", Errno: unix.ENFILE}, {Call: faults.Rename, Errno: unix.EIO},
 	} {
 		e, err := standin.NewEDS("127.0.0.1:0", "boxes", list)
 		if err != nil {
@@ -106,9 +106,9 @@
 		}
 		defer e.Close()
 		keep := filepath.Join(t.TempDir(), "list.json")
-		fault.Share = 1
+		fault.Probability = 1
 		in, _, _ := inProcess(t, e.Addr(), keep, []faults.Call{fault.Call}, fault)
-		wait(t, func() bool { return len(e.Told()) == 1 && in.Counts()[fault.Call] > 0 })
+		wait(t, func() bool { return len(e.Acknowledgements()) == 1 && in.Counts()[fault.Call] > 0 })
 		if _, err := os.Stat(keep); err == nil {
 			t.Fatalf("kept though %s fails: the test shows nothing", fault.Call)
 		}
@@ -128,9 +128,9 @@
 	}
 	defer e.Close()
 	follow(t, e, &sink{}, keep)
-	wait(t, func() bool { return len(e.Told()) == 1 })
+	wait(t, func() bool { return len(e.Acknowledgements()) == 1 })
 	for _, fault := range []faults.Fault{{Call: faults.Open, Errno: unix.ENFILE}, {Call: faults.Open, Errno: unix.EIO}, {Call: faults.Read, Errno: unix.EIO}} {
-		fault.On, fault.Share, fault.Burst, fault.Pause = "list.json", 1, 300*time.Millisecond, time.Hour
+		fault.Target, fault.Probability, fault.Burst, fault.Pause = "list.json", 1, 300*time.Millisecond, time.Hour
 		in, cmd, out := inProcess(t, "restore", keep, []faults.Call{fault.Call}, fault)
 		if err := cmd.Wait(); err != nil {
 			t.Fatal(err)
@@ -188,12 +188,12 @@
 		t.Fatalf("%+v, want %+v", got, list)
 	}
 	time.Sleep(50 * time.Millisecond)
-	if n := len(e.Told()); n != 0 {
+	if n := len(e.Acknowledgements()); n != 0 {
 		t.Fatalf("%d acknowledgements before the list was in force", n)
 	}
 	close(s.hold)
-	wait(t, func() bool { return len(e.Told()) == 1 })
-	if a := e.Told()[0]; a.Node != "me" || a.Version != 1 || a.Error != "" || !c.State().Connected {
+	wait(t, func() bool { return len(e.Acknowledgements()) == 1 })
+	if a := e.Acknowledgements()[0]; a.Node != "me" || a.Version != 1 || a.Error != "" || !c.State().Connected {
 		t.Fatalf("%+v", a)
 	}
 }
@@ -207,17 +207,17 @@
 	defer e.Close()
 	s := &sink{}
 	c := follow(t, e, s, "")
-	wait(t, func() bool { return len(e.Told()) == 1 })
+	wait(t, func() bool { return len(e.Acknowledgements()) == 1 })
 	e.Set([]policy.Server{{ID: "127.0.0.1:3"}}) // no zone
-	wait(t, func() bool { return len(e.Told()) == 2 })
-	if a := e.Told()[1]; a.Version != 1 || !strings.Contains(a.Error, "no zone") {
+	wait(t, func() bool { return len(e.Acknowledgements()) == 2 })
+	if a := e.Acknowledgements()[1]; a.Version != 1 || !strings.Contains(a.Error, "no zone") {
 		t.Fatalf("%+v", a)
 	}
 	if len(s.last()) != 2 || c.State().Nacked != 1 {
 		t.Fatalf("%+v, %+v", s.last(), c.State())
 	}
 	e.Set(list[:1])
-	wait(t, func() bool { return len(e.Told()) == 3 && len(s.last()) == 1 })
+	wait(t, func() bool { return len(e.Acknowledgements()) == 3 && len(s.last()) == 1 })
 }
 
 // The last list is kept, found again at a start without discovery, and a damaged file is an error and no list.
@@ -229,7 +229,7 @@
 	}
 	s := &sink{}
 	follow(t, e, s, keep)
-	wait(t, func() bool { return len(e.Told()) == 1 })
+	wait(t, func() bool { return len(e.Acknowledgements()) == 1 })
 	e.Close()
 	again := &sink{}
 	c := discovery.NewClient(config.Discovery{Servers: []string{"127.0.0.1:9"}, Cluster: "boxes", Keep: keep}, "me", again, zerolog.Nop())
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -29,12 +29,12 @@
 
 // platform is backends and discovery on loopback.
 type platform struct {
-	roster   *standin.Roster
+	roster   *standin.PlatformDiscovery
 	backends []*standin.PlatformBackend
 	hosts    []standin.PlatformHost
 }
 
-func newPlatform(t testing.TB, n int, answer func(c net.Conn, s standin.Served)) *platform {
+func newPlatform(t testing.TB, n int, answer func(c net.Conn, s standin.ReceivedCommand)) *platform {
 	t.Helper()
 	p := &platform{}
 	for i := range n {
@@ -47,7 +47,7 @@
 		p.hosts = append(p.hosts, standin.PlatformHost{Host: fmt.Sprint("s-", i), Dial: b.Addr(), Site: "room-a", Health: "SERVING", Share: 1})
 	}
 	var err error
-	if p.roster, err = standin.NewRoster(p.hosts...); err != nil {
+	if p.roster, err = standin.NewPlatformDiscovery(p.hosts...); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.roster.Close)
--- a/internal/edge/endpoints/endpoints_test.go
+++ b/internal/edge/endpoints/endpoints_test.go
@@ -213,9 +213,9 @@
 	return standin.PlatformHost{Host: id, Dial: "127.0.0.1:9", Site: "a", Health: "SERVING", Share: 1}
 }
 
-func roster(t *testing.T, hosts ...standin.PlatformHost) *standin.Roster {
+func roster(t *testing.T, hosts ...standin.PlatformHost) *standin.PlatformDiscovery {
 	t.Helper()
-	r, err := standin.NewRoster(hosts...)
+	r, err := standin.NewPlatformDiscovery(hosts...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -279,7 +279,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := roster(t, host("s-1"))
 			n := 0
-			r.Spoil(func(w http.ResponseWriter, _ *http.Request) bool {
+			r.Intercept(func(w http.ResponseWriter, _ *http.Request) bool {
 				if n++; n <= 2 {
 					spoil(w)
 				}
@@ -329,7 +329,7 @@
 		},
 	} {
 		r := roster(t, host("s-2"))
-		r.Spoil(func(w http.ResponseWriter, _ *http.Request) bool { send(w); return true })
+		r.Intercept(func(w http.ResponseWriter, _ *http.Request) bool { send(w); return true })
 		_, k := follow(t, r.Addr())
 		until(t, name, func() bool { _, l := k.last(); return len(l.Servers) == 1 && l.Servers[0].ID == "s-1" })
 	}
@@ -342,7 +342,7 @@
 	c, k := follow(t, r.Addr())
 	until(t, "a watch is open", func() bool { return len(r.Calls()) == 2 })
 	open := make(chan struct{})
-	r.Spoil(func(w http.ResponseWriter, req *http.Request) bool {
+	r.Intercept(func(w http.ResponseWriter, req *http.Request) bool {
 		if req.URL.RawQuery != "" {
 			<-open
 			fmt.Fprint(w, `{"seq":99,"whole":true,"hosts":[]}`)
@@ -371,7 +371,7 @@
 	var mu sync.Mutex
 	var asked []time.Time
 	down := true
-	r.Spoil(func(_ http.ResponseWriter, req *http.Request) bool {
+	r.Intercept(func(_ http.ResponseWriter, req *http.Request) bool {
 		mu.Lock()
 		asked = append(asked, time.Now())
 		silent := down
--- a/internal/edge/faults_test.go
+++ b/internal/edge/faults_test.go
@@ -208,7 +208,7 @@
 }
 
 // slowly answers after a time in which other requests are open.
-func slowly(c net.Conn, s standin.Served) {
+func slowly(c net.Conn, s standin.ReceivedCommand) {
 	time.Sleep(20 * time.Millisecond)
 	good(c, s)
 }
@@ -221,7 +221,7 @@
 )
 
 // closing answers and closes the connection, so that every request needs a new one.
-func closing(c net.Conn, s standin.Served) {
+func closing(c net.Conn, s standin.ReceivedCommand) {
 	slowly(c, s)
 	c.Close()
 }
@@ -288,7 +288,7 @@
 }
 
 // counting answers slowly, and counts.
-func (a *arrivals) counting(c net.Conn, s standin.Served) {
+func (a *arrivals) counting(c net.Conn, s standin.ReceivedCommand) {
 	a.mu.Lock()
 	a.times[s.Words[2]]++
 	a.class[s.Words[2]] = s.Words[3]
@@ -309,56 +309,56 @@
 }
 
 func TestFailingAcceptEndsNoConnection(t *testing.T) {
-	withFaults(t, []faults.Call{faults.Accept}, 1, each(faults.Fault{Call: faults.Accept, Share: 0.3}, unix.ENFILE,
+	withFaults(t, []faults.Call{faults.Accept}, 1, each(faults.Fault{Call: faults.Accept, Probability: 0.3}, unix.ENFILE,
 		unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.EPERM, unix.ENETDOWN, unix.EHOSTUNREACH, unix.ETIMEDOUT)...)
 }
 
 func TestInterruptedWakeUpLeavesNoAnswerBehind(t *testing.T) {
-	withFaults(t, []faults.Call{faults.Write}, 1, each(faults.Fault{Call: faults.Write, On: faults.Eventfd, Share: 0.1}, unix.EINTR, unix.EAGAIN)...)
+	withFaults(t, []faults.Call{faults.Write}, 1, each(faults.Fault{Call: faults.Write, Target: faults.Eventfd, Probability: 0.1}, unix.EINTR, unix.EAGAIN)...)
 }
 
 func TestFailingReadEndsNoConnection(t *testing.T) {
-	withFaults(t, []faults.Call{faults.Read}, 1, each(faults.Fault{Call: faults.Read, On: faults.Sockets, Share: 0.1}, unix.EINTR, unix.EAGAIN, unix.ENOMEM, unix.ENOBUFS)...)
+	withFaults(t, []faults.Call{faults.Read}, 1, each(faults.Fault{Call: faults.Read, Target: faults.Sockets, Probability: 0.1}, unix.EINTR, unix.EAGAIN, unix.ENOMEM, unix.ENOBUFS)...)
 }
 
 func TestFailingWriteEndsNoConnection(t *testing.T) {
-	withFaults(t, []faults.Call{faults.Write}, 1, each(faults.Fault{Call: faults.Write, On: faults.Sockets, Share: 0.1}, unix.EINTR, unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM)...)
+	withFaults(t, []faults.Call{faults.Write}, 1, each(faults.Fault{Call: faults.Write, Target: faults.Sockets, Probability: 0.1}, unix.EINTR, unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM)...)
 }
 
 func TestShortReadsAndWritesLoseNothing(t *testing.T) {
-	withFaults(t, []faults.Call{faults.Read, faults.Write}, 1, faults.Fault{Call: faults.Read, On: faults.Sockets, Short: 7, Share: 0.5},
-		faults.Fault{Call: faults.Write, On: faults.Sockets, Short: 7, Share: 0.5})
+	withFaults(t, []faults.Call{faults.Read, faults.Write}, 1, faults.Fault{Call: faults.Read, Target: faults.Sockets, MaxBytes: 7, Probability: 0.5},
+		faults.Fault{Call: faults.Write, Target: faults.Sockets, MaxBytes: 7, Probability: 0.5})
 }
 
 func TestFailingLooksLoseNothing(t *testing.T) {
 	withFaults(t, []faults.Call{faults.Recvfrom}, 1,
-		each(faults.Fault{Call: faults.Recvfrom, On: faults.Sockets, Share: 0.5}, unix.EINTR, unix.ENOMEM)...)
+		each(faults.Fault{Call: faults.Recvfrom, Target: faults.Sockets, Probability: 0.5}, unix.EINTR, unix.ENOMEM)...)
 }
 
 func TestInterruptedWaitEndsNothing(t *testing.T) {
-	withFaults(t, []faults.Call{faults.EpollPwait}, 1, each(faults.Fault{Call: faults.EpollPwait, Share: 0.2}, unix.EINTR)...)
+	withFaults(t, []faults.Call{faults.EpollPwait}, 1, each(faults.Fault{Call: faults.EpollPwait, Probability: 0.2}, unix.EINTR)...)
 }
 
 func TestFailingRegistrationLosesNoConnection(t *testing.T) {
-	withFaults(t, []faults.Call{faults.EpollCtl}, 1, each(faults.Fault{Call: faults.EpollCtl, On: faults.Sockets, Share: 0.2}, unix.ENOMEM, unix.ENOSPC)...)
+	withFaults(t, []faults.Call{faults.EpollCtl}, 1, each(faults.Fault{Call: faults.EpollCtl, Target: faults.Sockets, Probability: 0.2}, unix.ENOMEM, unix.ENOSPC)...)
 }
 
 func TestFailingSocketsRefuseNobody(t *testing.T) {
 	withFaultsAt(t, newPlatform(t, 3, closing), []faults.Call{faults.Socket, faults.Connect}, 1,
-		append(each(faults.Fault{Call: faults.Socket, Share: 1, Burst: moment, Pause: 2 * moment}, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM),
-			each(faults.Fault{Call: faults.Connect, Share: 1, Burst: moment, Pause: 2 * moment}, unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.EAGAIN, unix.EINTR, unix.ENOBUFS)...)...)
+		append(each(faults.Fault{Call: faults.Socket, Probability: 1, Burst: moment, Pause: 2 * moment}, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM),
+			each(faults.Fault{Call: faults.Connect, Probability: 1, Burst: moment, Pause: 2 * moment}, unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.EAGAIN, unix.EINTR, unix.ENOBUFS)...)...)
 }
 
 func TestUnreachableServersLoseNothing(t *testing.T) {
 	withFaultsAt(t, newPlatform(t, 3, closing), []faults.Call{faults.Connect}, 0,
-		each(faults.Fault{Call: faults.Connect, Share: 0.5}, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNREFUSED)...)
+		each(faults.Fault{Call: faults.Connect, Probability: 0.5}, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNREFUSED)...)
 }
 
 func TestFailingOptionsRefuseNobody(t *testing.T) {
-	withFaultsAt(t, newPlatform(t, 3, closing), []faults.Call{faults.Setsockopt, faults.Getsockopt, faults.Dup}, 1,
-		faults.Fault{Call: faults.Setsockopt, Errno: unix.ENOBUFS, Share: 0.3},
-		faults.Fault{Call: faults.Getsockopt, Errno: unix.ENOBUFS, Share: 0.3},
-		faults.Fault{Call: faults.Dup, Errno: unix.EMFILE, Share: 0.3})
+	withFaultsAt(t, newPlatform(t, 3, closing), []faults.Call{faults.Setsockopt, faults.Getsockopt, faults.Fcntl}, 1,
+		faults.Fault{Call: faults.Setsockopt, Errno: unix.ENOBUFS, Probability: 0.3},
+		faults.Fault{Call: faults.Getsockopt, Errno: unix.ENOBUFS, Probability: 0.3},
+		faults.Fault{Call: faults.Fcntl, Errno: unix.EMFILE, Probability: 0.3})
 }
 
 // What was out on a connection that breaks may have run.
@@ -368,7 +368,7 @@
 	f := startFaulty(t, p, []faults.Call{faults.Read, faults.Write})
 	at := port(t, p.backends[0].Addr())
 	for _, call := range []faults.Call{faults.Read, faults.Write} {
-		for _, fault := range each(faults.Fault{Call: call, On: faults.Sockets, Port: at, Share: 0.05, Break: true}, unix.ETIMEDOUT,
+		for _, fault := range each(faults.Fault{Call: call, Target: faults.Sockets, Port: at, Probability: 0.05, BreakConnection: true}, unix.ETIMEDOUT,
 			unix.EHOSTUNREACH, unix.ECONNRESET, unix.EPIPE) {
 			f.Set(fault)
 			y := load(f.addr, 4, faultTime/2)
@@ -385,7 +385,7 @@
 	p := newPlatform(t, 2, a.counting)
 	f := startFaulty(t, p, []faults.Call{faults.Read, faults.Write})
 	for _, call := range []faults.Call{faults.Read, faults.Write} {
-		for _, fault := range each(faults.Fault{Call: call, On: faults.Sockets, Port: port(t, f.addr), Share: 0.02, Break: true}, unix.ETIMEDOUT, unix.EHOSTUNREACH) {
+		for _, fault := range each(faults.Fault{Call: call, Target: faults.Sockets, Port: port(t, f.addr), Probability: 0.02, BreakConnection: true}, unix.ETIMEDOUT, unix.EHOSTUNREACH) {
 			before := f.Counts()[call]
 			f.Set(fault)
 			y := load(f.addr, 4, faultTime/2)
@@ -404,10 +404,10 @@
 	calls := []faults.Call{faults.Socket, faults.Bind, faults.Setsockopt, faults.Open, faults.Read, faults.EpollCtl}
 	for _, fault := range []faults.Fault{
 		{Call: faults.Socket, Errno: unix.ENFILE}, {Call: faults.Socket, Errno: unix.ENOBUFS}, {Call: faults.Bind, Errno: unix.EADDRINUSE},
-		{Call: faults.Setsockopt, Errno: unix.ENOBUFS}, {Call: faults.Open, On: "config.json", Errno: unix.ENFILE},
-		{Call: faults.Open, On: "config.json", Errno: unix.EIO}, {Call: faults.Read, On: "config.json", Errno: unix.EIO},
+		{Call: faults.Setsockopt, Errno: unix.ENOBUFS}, {Call: faults.Open, Target: "config.json", Errno: unix.ENFILE},
+		{Call: faults.Open, Target: "config.json", Errno: unix.EIO}, {Call: faults.Read, Target: "config.json", Errno: unix.EIO},
 	} {
-		fault.Share, fault.Burst, fault.Pause = 1, 4*moment, time.Hour
+		fault.Probability, fault.Burst, fault.Pause = 1, 4*moment, time.Hour
 		f := startFaulty(t, newPlatform(t, 1, good), calls, fault)
 		if f.Counts()[fault.Call] == 0 {
 			t.Errorf("%s never failed by %v: the test shows nothing", fault.Call, fault.Errno)
@@ -418,7 +418,7 @@
 
 // The last case is a file that is read half written.
 func TestReloadsThoughTheFileCannotBeReadForAMoment(t *testing.T) {
-	for _, fault := range []faults.Fault{{Call: faults.Open, On: "config.json", Errno: unix.ENFILE}, {Call: faults.Read, On: "config.json", Errno: unix.EIO}, {}} {
+	for _, fault := range []faults.Fault{{Call: faults.Open, Target: "config.json", Errno: unix.ENFILE}, {Call: faults.Read, Target: "config.json", Errno: unix.EIO}, {}} {
 		p := newPlatform(t, 1, good)
 		f := startFaulty(t, p, []faults.Call{faults.Open, faults.Read})
 		next := newPlatform(t, 1, good)
@@ -428,7 +428,7 @@
 			t.Fatal(err)
 		}
 		if fault.Call != "" {
-			fault.Share = 1
+			fault.Probability = 1
 			f.Set(fault)
 		} else if err := os.WriteFile(f.config, whole[:len(whole)/2], 0o600); err != nil {
 			t.Fatal(err)
@@ -464,9 +464,9 @@
 		case "its reader is gone":
 			reader.Close()
 		case "no space":
-			at = append(at, faults.Fault{Call: faults.Write, On: "pipe:", Errno: unix.ENOSPC, Share: 1})
+			at = append(at, faults.Fault{Call: faults.Write, Target: "pipe:", Errno: unix.ENOSPC, Probability: 1})
 		case "input or output error":
-			at = append(at, faults.Fault{Call: faults.Write, On: "pipe:", Errno: unix.EIO, Share: 1})
+			at = append(at, faults.Fault{Call: faults.Write, Target: "pipe:", Errno: unix.EIO, Probability: 1})
 		}
 		f := startLogging(t, newPlatform(t, 2, good), writer, []faults.Call{faults.Write}, at...)
 		writer.Close()
--- a/internal/edge/measure_test.go
+++ b/internal/edge/measure_test.go
@@ -28,9 +28,9 @@
 //
 //	EDGE_PROFILE=/tmp/edge.prof go test -run NONE -bench Ingress -benchtime 20000x ./internal/edge
 func BenchmarkIngress(b *testing.B) {
-	p := newPlatform(b, 4, func(c net.Conn, s standin.Served) {
+	p := newPlatform(b, 4, func(c net.Conn, s standin.ReceivedCommand) {
 		time.Sleep(2 * time.Millisecond)
-		_, _ = c.Write(standin.Good(s))
+		_, _ = c.Write(standin.ValueReply(s))
 	})
 	listen := freeAddr(b)
 	path, err := standin.PlatformConfig(b.TempDir(), listen, p.roster.Addr(), p.roster.List(), standin.PlatformSettings(0, 1))
--- a/internal/edge/serve_test.go
+++ b/internal/edge/serve_test.go
@@ -100,8 +100,8 @@
 func newID() string { return fmt.Sprintf("%016x", lastID.Add(1)) }
 
 // holding answers a request whose id ends so once hold is closed, and all others at once.
-func holding(hold <-chan struct{}, end string) func(net.Conn, standin.Served) {
-	return func(c net.Conn, s standin.Served) {
+func holding(hold <-chan struct{}, end string) func(net.Conn, standin.ReceivedCommand) {
+	return func(c net.Conn, s standin.ReceivedCommand) {
 		if strings.HasSuffix(s.Words[2], end) {
 			<-hold
 		}
@@ -109,7 +109,7 @@
 	}
 }
 
-func good(c net.Conn, s standin.Served) { _, _ = c.Write(standin.Good(s)) }
+func good(c net.Conn, s standin.ReceivedCommand) { _, _ = c.Write(standin.ValueReply(s)) }
 
 func until(t *testing.T, what string, done func() bool) {
 	t.Helper()
@@ -152,8 +152,8 @@
 // The largest body and value go through, one byte more does not; an answer cut in two at every byte is whole.
 func TestLargestAndCutAnswers(t *testing.T) {
 	var cut atomic.Int64
-	p := newPlatform(t, 1, func(c net.Conn, s standin.Served) {
-		b := standin.Good(s)
+	p := newPlatform(t, 1, func(c net.Conn, s standin.ReceivedCommand) {
+		b := standin.ValueReply(s)
 		if len(s.Words) > 4 { // the body comes back, as long as its first byte says
 			b = append(resp.AppendBulk(resp.AppendArray(nil, 3), s.Words[4]+strings.Repeat("x", int(s.Words[4][0]-'0'))), "$-1\r\n$-1\r\n"...)
 		}
@@ -220,7 +220,7 @@
 	for _, spoil := range []string{"noise\r\n", "*3\r\n$5\r\nab", "$3000000000\r\nxxxx", "*3\r\n$-1\r\n$-1\r\n$-1\r\n", "+OK\r\n", strings.Repeat("x", 5000),
 		"*99999999\r\n", "HTTP/1.1 200 OK\r\n\r\n"} {
 		var n atomic.Int64
-		p := newPlatform(t, 2, func(c net.Conn, s standin.Served) { // what never ends is tried at the other one
+		p := newPlatform(t, 2, func(c net.Conn, s standin.ReceivedCommand) { // what never ends is tried at the other one
 			if n.Add(1) == 1 {
 				_, _ = c.Write([]byte(spoil))
 				return
@@ -234,11 +234,11 @@
 		c.expect("value of " + id)
 	}
 	var n atomic.Int64
-	p := newPlatform(t, 1, func(c net.Conn, s standin.Served) {
+	p := newPlatform(t, 1, func(c net.Conn, s standin.ReceivedCommand) {
 		good(c, s)
 		if n.Add(1)%2 == 1 {
 			time.Sleep(5 * time.Millisecond)
-			_, _ = c.Write(standin.Good(s)) // a second copy, by when the next request may be on its way
+			_, _ = c.Write(standin.ValueReply(s)) // a second copy, by when the next request may be on its way
 		}
 	})
 	_, addr := serving(t, p)
@@ -254,7 +254,7 @@
 // connection prove that it has not run.
 func TestWhatMayHaveRun(t *testing.T) {
 	var ran atomic.Int64
-	p := newPlatform(t, 1, func(c net.Conn, s standin.Served) {
+	p := newPlatform(t, 1, func(c net.Conn, s standin.ReceivedCommand) {
 		switch ran.Add(1) {
 		case 1:
 			c.Close()
@@ -317,8 +317,8 @@
 		p.roster.Set(h)
 		until(t, "the new one is listed", func() bool { return e.loop.Beliefs()[0].Server.ID == h.Host })
 	}
-	until(t, "the old connections end", func() bool { return p.backends[0].Open() <= 1 && len(e.pool.ConnectionStats()) == 1 })
-	if n := p.backends[0].Count(); n < times {
+	until(t, "the old connections end", func() bool { return p.backends[0].OpenConnections() <= 1 && len(e.pool.ConnectionStats()) == 1 })
+	if n := p.backends[0].TotalConnections(); n < times {
 		t.Errorf("%d connections to %d backends at one address", n, times)
 	}
 }
@@ -334,7 +334,7 @@
 	c.expect("value of " + id)
 	busy.send(request("00000000000000ee", "pay", "basic", 6000))
 	until(t, "the request is out", func() bool { return e.loop.Status().Held == 1 })
-	next, err := standin.NewRoster(p.hosts[0])
+	next, err := standin.NewPlatformDiscovery(p.hosts[0])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -359,7 +359,7 @@
 // Told to stop, an ingress serves those who still come, answers what it took, lets clients go and ends.
 func TestStops(t *testing.T) {
 	hold := make(chan struct{})
-	p := newPlatform(t, 1, func(c net.Conn, s standin.Served) {
+	p := newPlatform(t, 1, func(c net.Conn, s standin.ReceivedCommand) {
 		if strings.HasSuffix(s.Words[2], "cc") { // never answered
 			_, _ = c.Read(make([]byte, 1))
 			return
@@ -452,7 +452,7 @@
 func TestWaitsForItsFirstList(t *testing.T) {
 	p := newPlatform(t, 1, good)
 	var listed atomic.Bool
-	p.roster.Spoil(func(w http.ResponseWriter, _ *http.Request) bool {
+	p.roster.Intercept(func(w http.ResponseWriter, _ *http.Request) bool {
 		if !listed.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
--- a/internal/edge/signals_test.go
+++ b/internal/edge/signals_test.go
@@ -47,7 +47,7 @@
 	p := newPlatform(t, 1, good)
 	asked, release := make(chan struct{}, 100), make(chan struct{})
 	defer close(release)
-	p.roster.Spoil(func(_ http.ResponseWriter, r *http.Request) bool {
+	p.roster.Intercept(func(_ http.ResponseWriter, r *http.Request) bool {
 		asked <- struct{}{}
 		select {
 		case <-release:
@@ -73,7 +73,7 @@
 	for _, order := range []string{"hup first", "term first"} {
 		t.Run(order, func(t *testing.T) {
 			hold, out := make(chan struct{}), make(chan struct{}, 1)
-			p := newPlatform(t, 1, func(c net.Conn, s standin.Served) {
+			p := newPlatform(t, 1, func(c net.Conn, s standin.ReceivedCommand) {
 				out <- struct{}{}
 				holding(hold, "ee")(c, s)
 			})
@@ -85,7 +85,7 @@
 				}
 				return err == nil
 			})
-			next, err := standin.NewRoster(p.hosts[0])
+			next, err := standin.NewPlatformDiscovery(p.hosts[0])
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/edge/soak_test.go
+++ b/internal/edge/soak_test.go
@@ -56,7 +56,7 @@
 }
 
 func soakOnce(t *testing.T, seed uint64, d time.Duration) {
-	r, err := soak.Run(soak.Options{Seed: seed, For: d, Crowd: seed%4 == 0, Folder: t.TempDir(), Program: func() *exec.Cmd {
+	r, err := soak.Run(soak.Options{Seed: seed, Duration: d, IdleClients: seed%4 == 0, Folder: t.TempDir(), Program: func() *exec.Cmd {
 		cmd := exec.Command(os.Args[0], "-test.run", "TestMain")
 		cmd.Env = append(os.Environ(), "EDGE_CHILD=1")
 		return cmd
@@ -64,8 +64,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d requests, %d served, %d calls failed, %d rules broken", r.Sent, r.Served, r.Failed, len(r.Breaks))
-	for i, b := range r.Breaks {
+	t.Logf("%d requests, %d served, %d calls failed, %d rules broken", r.Sent, r.Served, r.FailedCalls, len(r.Violations))
+	for i, b := range r.Violations {
 		if i == 20 {
 			break
 		}
--- a/internal/faults/inject.go
+++ b/internal/faults/inject.go
@@ -21,7 +21,7 @@
 	Accept     Call = "accept4"
 	Bind       Call = "bind"
 	Connect    Call = "connect"
-	Dup        Call = "fcntl" // the runtime duplicates descriptors with it
+	Fcntl      Call = "fcntl" // the runtime duplicates descriptors with it
 	EpollCtl   Call = "epoll_ctl"
 	EpollWait  Call = "epoll_wait"
 	EpollPwait Call = "epoll_pwait"
@@ -38,7 +38,7 @@
 )
 
 var numbers = map[Call]int{
-	Accept: unix.SYS_ACCEPT4, Bind: unix.SYS_BIND, Connect: unix.SYS_CONNECT, Dup: unix.SYS_FCNTL, EpollCtl: unix.SYS_EPOLL_CTL,
+	Accept: unix.SYS_ACCEPT4, Bind: unix.SYS_BIND, Connect: unix.SYS_CONNECT, Fcntl: unix.SYS_FCNTL, EpollCtl: unix.SYS_EPOLL_CTL,
 	EpollWait: unix.SYS_EPOLL_WAIT, EpollPwait: unix.SYS_EPOLL_PWAIT, Fsync: unix.SYS_FSYNC, Getsockopt: unix.SYS_GETSOCKOPT,
 	Open: unix.SYS_OPENAT, Read: unix.SYS_READ, Recvfrom: unix.SYS_RECVFROM, Rename: unix.SYS_RENAMEAT,
 	Setsockopt: unix.SYS_SETSOCKOPT, Shutdown: unix.SYS_SHUTDOWN, Socket: unix.SYS_SOCKET, Write: unix.SYS_WRITE,
@@ -56,15 +56,15 @@
 
 // Fault is a way for calls to fail.
 type Fault struct {
-	Call         Call
-	On           Target        // or a part of a file's path
-	Errno        unix.Errno    // the call fails so, and nothing of it is carried out
-	Break        bool          // the connection is broken as well, as an error of the network breaks it
-	Short        int           // of a read or a write on a socket: so many bytes at most are moved, in place of failing
-	Burst, Pause time.Duration // calls fail for a burst, then none does for a pause, and so on; 0: they may fail at any time
-	Share        float64       // of the calls that match, 0 to 1, that fail
-	Times        int           // so many times in all; 0: without a bound
-	Port         int           // of either end of a socket; 0: any
+	Call            Call
+	Target          Target        // or a part of a file's path
+	Errno           unix.Errno    // the call fails so, and nothing of it is carried out
+	BreakConnection bool          // the connection is broken as well, as an error of the network breaks it
+	MaxBytes        int           // of a read or a write on a socket: so many bytes at most are moved, in place of failing
+	Burst, Pause    time.Duration // calls fail for a burst, then none does for a pause, and so on; 0: they may fail at any time
+	Probability     float64       // of the calls that match, 0 to 1, that fail
+	MaxCount        int           // so many times in all; 0: without a bound
+	Port            int           // of either end of a socket; 0: any
 }
 
 // Injector decides on each trapped call of one process. It is safe for concurrent use.
@@ -110,7 +110,7 @@
 	defer in.mu.Unlock()
 	in.faults, in.left, in.setAt = faults, make([]int, len(faults)), time.Now()
 	for i, f := range faults {
-		in.left[i] = f.Times
+		in.left[i] = f.MaxCount
 	}
 }
 
@@ -186,15 +186,15 @@
 	if f == nil {
 		return goOn
 	}
-	if f.Short > 0 {
-		r, moved := in.part(n, fd, f.Short)
+	if f.MaxBytes > 0 {
+		r, moved := in.part(n, fd, f.MaxBytes)
 		if !moved {
 			return goOn
 		}
 		in.count(f.Call)
 		return r
 	}
-	if f.Break {
+	if f.BreakConnection {
 		in.sever(fd)
 	}
 	if f.Call == Connect && f.Errno == unix.EINTR {
@@ -220,13 +220,13 @@
 	defer in.mu.Unlock()
 	for i := range in.faults {
 		f := &in.faults[i]
-		if int(n.number) != numbers[f.Call] || f.Times > 0 && in.left[i] == 0 || in.rng.Float64() >= f.Share {
+		if int(n.number) != numbers[f.Call] || f.MaxCount > 0 && in.left[i] == 0 || in.rng.Float64() >= f.Probability {
 			continue
 		}
 		if whole := f.Burst + f.Pause; f.Burst > 0 && time.Since(in.setAt)%whole >= f.Burst {
 			continue
 		}
-		if f.On != Any && !strings.Contains(in.target(n, fd), string(f.On)) || f.Port != 0 && !in.hasPort(fd, f.Port) {
+		if f.Target != Any && !strings.Contains(in.target(n, fd), string(f.Target)) || f.Port != 0 && !in.hasPort(fd, f.Port) {
 			continue
 		}
 		if n.number == unix.SYS_FCNTL && n.args[1] != unix.F_DUPFD_CLOEXEC && n.args[1] != unix.F_DUPFD {
--- a/internal/instance/instance_test.go
+++ b/internal/instance/instance_test.go
@@ -31,7 +31,7 @@
 // site is boxes in rooms of their own and the settings that name them.
 type site struct {
 	t        *testing.T
-	boxes    []*standin.Box
+	boxes    []*standin.Server
 	settings string
 
 	mu   sync.Mutex
@@ -52,8 +52,8 @@
 		t.Fatal(err)
 	}
 	for i := range 3 {
-		b, err := standin.NewBox("127.0.0.1:0", standin.BoxOptions{Params: standin.DefaultParams, Jobs: standin.Jobs(cfg, work),
-			Seed: uint64(i), Saw: func(a standin.Arrival) {
+		b, err := standin.NewServer("127.0.0.1:0", standin.ServerOptions{Params: standin.DefaultParams, Jobs: standin.Jobs(cfg, work),
+			Seed: uint64(i), OnArrival: func(a standin.Arrival) {
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				s.seen = append(s.seen, a)
@@ -75,7 +75,7 @@
 	boxes = map[string]bool{}
 	for _, a := range s.seen {
 		if len(a.Words) > 1 && a.Words[1] == key {
-			boxes[a.Box] = true
+			boxes[a.Server] = true
 			if a.Executed {
 				n++
 			}
--- a/internal/instance/tail_test.go
+++ b/internal/instance/tail_test.go
@@ -26,14 +26,14 @@
 	case "box":
 		jobs := map[string]standin.Job{"JOB.STATUS": {Work: 0.000001}}
 		p := standin.DefaultParams
-		b, err := standin.NewBox("127.0.0.1:0", standin.BoxOptions{Params: p, Jobs: jobs, Seed: 1})
+		b, err := standin.NewServer("127.0.0.1:0", standin.ServerOptions{Params: p, Jobs: jobs, Seed: 1})
 		if err != nil {
 			return err
 		}
 		defer b.Close()
 		addr = b.Addr()
 	case "relay":
-		r, err := standin.NewStream("127.0.0.1:0", arg, 1)
+		r, err := standin.NewTCPRelay("127.0.0.1:0", arg, 1)
 		if err != nil {
 			return err
 		}
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -17,9 +17,9 @@
 
 // Options are the settings of a run.
 type Options struct {
-	Seed  uint64
-	For   time.Duration
-	Crowd bool // idle clients fill the descriptors
+	Seed        uint64
+	Duration    time.Duration
+	IdleClients bool // idle clients fill the descriptors
 	// Program is an ingress that reads EDGE_CONFIG and keeps to EDGE_NOFILE descriptors, with its environment; it calls
 	// faults.Trap.
 	Program func() *exec.Cmd
@@ -28,9 +28,9 @@
 
 // Report is what came of a run.
 type Report struct {
-	Breaks       []Break
+	Violations   []Violation
 	Sent, Served int
-	Failed       int      // calls that were made to fail
+	FailedCalls  int      // calls that were made to fail
 	Events       []string // what happened when
 	Logs         []string // of the ingresses, their ends
 }
@@ -71,8 +71,8 @@
 // Run plays one run and judges it.
 func Run(o Options) (*Report, error) {
 	rng := rand.New(rand.NewPCG(o.Seed, 7))
-	f := &fleet{deployment: drawDeployment(rng, o.Crowd), seed: o.Seed, program: o.Program, rng: rng}
-	f.record = &Record{Crowd: o.Crowd, start: time.Now(), lives: make([][]*Life, f.ingresses)}
+	f := &fleet{deployment: drawDeployment(rng, o.IdleClients), seed: o.Seed, program: o.Program, rng: rng}
+	f.record = &Record{Crowd: o.IdleClients, start: time.Now(), lives: make([][]*Life, f.ingresses)}
 	defer f.close()
 	for range serversAtStart {
 		if err := f.addServer(); err != nil {
@@ -83,12 +83,12 @@
 		return nil, err
 	}
 	f.record.start = time.Now()
-	f.end = time.Now().Add(o.For)
+	f.end = time.Now().Add(o.Duration)
 	err := f.play(o)
 	failed := f.stop()
 	f.resolveDrains()
-	r := &Report{Failed: failed, Events: f.record.events}
-	r.Breaks, r.Sent, r.Served = f.record.Judge()
+	r := &Report{FailedCalls: failed, Events: f.record.events}
+	r.Violations, r.Sent, r.Served = f.record.Judge()
 	for _, n := range f.members {
 		r.Logs = append(r.Logs, n.log.String())
 	}
@@ -105,7 +105,7 @@
 		f.record.watchOwnStalls(stopped)
 	}()
 	var crowd []net.Conn
-	if o.Crowd {
+	if o.IdleClients {
 		crowd = f.crowd()
 	}
 	var clients sync.WaitGroup
@@ -151,7 +151,7 @@
 		}
 		n.cfg = &configuration{folder: home, listen: listen, peerListen: peers[i], peers: peers}
 		for k := range n.roster {
-			if n.roster[k], err = standin.NewRoster(f.hosts(i)...); err != nil {
+			if n.roster[k], err = standin.NewPlatformDiscovery(f.hosts(i)...); err != nil {
 				return err
 			}
 		}
--- a/internal/soak/ingress.go
+++ b/internal/soak/ingress.go
@@ -18,8 +18,8 @@
 	fleet  *fleet
 	number int
 	cfg    *configuration
-	roster [2]*standin.Roster // discovery on its machine, and where a new configuration moves it
-	asked  int                // which of the two
+	roster [2]*standin.PlatformDiscovery // discovery on its machine, and where a new configuration moves it
+	asked  int                           // which of the two
 
 	ending sync.Mutex // held while a process is being replaced
 
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -107,15 +107,15 @@
 	readyMost     = 10 * time.Second
 )
 
-// Break is one broken rule.
-type Break struct{ Rule, Text string }
+// Violation is one broken rule.
+type Violation struct{ Rule, Text string }
 
 // Judge tells which rules were broken, and how many requests were sent and served.
-func (r *Record) Judge() (breaks []Break, sent, served int) {
+func (r *Record) Judge() (breaks []Violation, sent, served int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	broke := func(rule, format string, args ...any) {
-		breaks = append(breaks, Break{rule, fmt.Sprintf(format, args...)})
+		breaks = append(breaks, Violation{rule, fmt.Sprintf(format, args...)})
 	}
 	byID := map[string][]Arrival{}
 	for _, a := range r.arrivals {
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -39,7 +39,7 @@
 func newServer(name string, ingresses int, seed uint64, r *Record) (*server, error) {
 	s := &server{name: name, record: r, rng: rand.New(rand.NewPCG(seed, 3)), gone: make(chan struct{}), start: time.Now()}
 	for n := range ingresses {
-		b, err := standin.NewPlatformBackend(func(c net.Conn, q standin.Served) { s.serve(n, c, q) })
+		b, err := standin.NewPlatformBackend(func(c net.Conn, q standin.ReceivedCommand) { s.serve(n, c, q) })
 		if err != nil {
 			s.close()
 			return nil, err
@@ -68,7 +68,7 @@
 	serviceSlow = 300 * time.Millisecond
 )
 
-func (s *server) serve(ingress int, c net.Conn, q standin.Served) {
+func (s *server) serve(ingress int, c net.Conn, q standin.ReceivedCommand) {
 	if len(q.Words) < 4 {
 		_, _ = c.Write([]byte("-SYNTAX\r\n"))
 		return
@@ -104,7 +104,7 @@
 	}
 	select {
 	case <-time.After(wait):
-		_, _ = c.Write(standin.Good(q))
+		_, _ = c.Write(standin.ValueReply(q))
 	case <-s.gone:
 	}
 }
--- a/internal/soak/trouble.go
+++ b/internal/soak/trouble.go
@@ -93,16 +93,16 @@
 // moments are faults that last for a moment each.
 func moments() []faults.Fault {
 	return []faults.Fault{
-		{Call: faults.Accept, Errno: unix.ENFILE, Share: 1}, {Call: faults.Accept, Errno: unix.ECONNABORTED, Share: 0.5},
-		{Call: faults.Accept, Errno: unix.ENOBUFS, Share: 0.5}, {Call: faults.Accept, Errno: unix.EPROTO, Share: 0.3},
-		{Call: faults.Read, On: faults.Sockets, Errno: unix.EINTR, Share: 0.3}, {Call: faults.Read, On: faults.Sockets, Errno: unix.ENOMEM, Share: 0.3},
-		{Call: faults.Read, On: faults.Sockets, Short: 5, Share: 0.7}, {Call: faults.Write, On: faults.Sockets, Short: 5, Share: 0.7},
-		{Call: faults.Write, On: faults.Sockets, Errno: unix.EAGAIN, Share: 0.3}, {Call: faults.Write, On: faults.Sockets, Errno: unix.ENOBUFS, Share: 0.3},
-		{Call: faults.Write, On: faults.Eventfd, Errno: unix.EINTR, Share: 0.3}, {Call: faults.EpollPwait, Errno: unix.EINTR, Share: 0.3},
-		{Call: faults.EpollCtl, On: faults.Sockets, Errno: unix.ENOMEM, Share: 0.3},
-		{Call: faults.Socket, Errno: unix.ENFILE, Share: 1}, {Call: faults.Socket, Errno: unix.ENOBUFS, Share: 0.5},
-		{Call: faults.Connect, Errno: unix.EADDRNOTAVAIL, Share: 1}, {Call: faults.Connect, Errno: unix.ENETUNREACH, Share: 0.5},
-		{Call: faults.Setsockopt, Errno: unix.ENOBUFS, Share: 0.5},
+		{Call: faults.Accept, Errno: unix.ENFILE, Probability: 1}, {Call: faults.Accept, Errno: unix.ECONNABORTED, Probability: 0.5},
+		{Call: faults.Accept, Errno: unix.ENOBUFS, Probability: 0.5}, {Call: faults.Accept, Errno: unix.EPROTO, Probability: 0.3},
+		{Call: faults.Read, Target: faults.Sockets, Errno: unix.EINTR, Probability: 0.3}, {Call: faults.Read, Target: faults.Sockets, Errno: unix.ENOMEM, Probability: 0.3},
+		{Call: faults.Read, Target: faults.Sockets, MaxBytes: 5, Probability: 0.7}, {Call: faults.Write, Target: faults.Sockets, MaxBytes: 5, Probability: 0.7},
+		{Call: faults.Write, Target: faults.Sockets, Errno: unix.EAGAIN, Probability: 0.3}, {Call: faults.Write, Target: faults.Sockets, Errno: unix.ENOBUFS, Probability: 0.3},
+		{Call: faults.Write, Target: faults.Eventfd, Errno: unix.EINTR, Probability: 0.3}, {Call: faults.EpollPwait, Errno: unix.EINTR, Probability: 0.3},
+		{Call: faults.EpollCtl, Target: faults.Sockets, Errno: unix.ENOMEM, Probability: 0.3},
+		{Call: faults.Socket, Errno: unix.ENFILE, Probability: 1}, {Call: faults.Socket, Errno: unix.ENOBUFS, Probability: 0.5},
+		{Call: faults.Connect, Errno: unix.EADDRNOTAVAIL, Probability: 1}, {Call: faults.Connect, Errno: unix.ENETUNREACH, Probability: 0.5},
+		{Call: faults.Setsockopt, Errno: unix.ENOBUFS, Probability: 0.5},
 	}
 }
 
@@ -119,7 +119,7 @@
 	}
 	d := f.span(50*time.Millisecond, 400*time.Millisecond)
 	for _, x := range list {
-		f.record.note("%d ingresses: %s %q fails by %v, short %d, for %v", len(members), x.Call, x.On, x.Errno, x.Short, d)
+		f.record.note("%d ingresses: %s %q fails by %v, short %d, for %v", len(members), x.Call, x.Target, x.Errno, x.MaxBytes, d)
 	}
 	for _, n := range members {
 		n.set(list...)
@@ -139,7 +139,7 @@
 	call := []faults.Call{faults.Read, faults.Write}[f.draw(2)]
 	d := f.span(50*time.Millisecond, 300*time.Millisecond)
 	f.record.note("n%d: connections to %s break by %v for %v", n.number, s.name, errno, d)
-	n.set(faults.Fault{Call: call, On: faults.Sockets, Port: portOf(s.at[n.number].Addr()), Errno: errno, Break: true, Share: 0.3})
+	n.set(faults.Fault{Call: call, Target: faults.Sockets, Port: portOf(s.at[n.number].Addr()), Errno: errno, BreakConnection: true, Probability: 0.3})
 	time.Sleep(d)
 	n.set()
 	return nil
@@ -222,7 +222,7 @@
 	f.record.note("n%d: discovery down for %v, silent %v", n.number, d, silent)
 	until := time.Now().Add(d)
 	for _, r := range n.roster {
-		r.Spoil(func(w http.ResponseWriter, q *http.Request) bool {
+		r.Intercept(func(w http.ResponseWriter, q *http.Request) bool {
 			if time.Now().After(until) {
 				return false
 			}
@@ -328,7 +328,7 @@
 		told := make([]time.Time, len(f.members))
 		for i, n := range f.members {
 			for k, r := range n.roster {
-				if at, was := r.ToldAt(d.versions[i][k]); was && (told[i].IsZero() || at.Before(told[i])) {
+				if at, was := r.FirstServedAt(d.versions[i][k]); was && (told[i].IsZero() || at.Before(told[i])) {
 					told[i] = at
 				}
 			}
--- a/internal/standin/box.go
+++ b/internal/standin/box.go
@@ -17,24 +17,24 @@
 
 // Job says what a command costs a box.
 type Job struct {
-	Work  float64 // mean seconds of a core of speed 1
-	KeyAt int     // the word that holds the submission key, 0: none
-	KeyS  float64 // for so long repeats of a key are dropped
-	Echo  int     // the word that the answer repeats, 0: none
+	Work    float64 // mean seconds of a core of speed 1
+	KeyAt   int     // the word that holds the submission key, 0: none
+	KeyTTLS float64 // for so long repeats of a key are dropped
+	Echo    int     // the word that the answer repeats, 0: none
 }
 
 // Arrival is what a box saw of one command.
 type Arrival struct {
 	At       time.Time
-	Box      string
+	Server   string
 	Instance string // as it named itself by CLIENT SETNAME
 	Words    []string
-	Ruling   Ruling
+	Outcome  Outcome
 	Executed bool // it ran here and now: no repeat, not turned away
 }
 
-// Memory is the submission keys that the boxes of one room have seen.
-type Memory struct {
+// SubmissionKeys is the submission keys that the boxes of one room have seen.
+type SubmissionKeys struct {
 	mu   sync.Mutex
 	seen map[string]remembered
 }
@@ -45,26 +45,26 @@
 	reply  string
 }
 
-// NewMemory returns an empty memory.
-func NewMemory() *Memory { return &Memory{seen: map[string]remembered{}} }
+// NewSubmissionKeys returns an empty memory.
+func NewSubmissionKeys() *SubmissionKeys { return &SubmissionKeys{seen: map[string]remembered{}} }
 
-// BoxOptions describe a Box.
-type BoxOptions struct {
-	Params Params
-	Jobs   map[string]Job // by command, in upper case
-	Seed   uint64
-	Memory *Memory                // shared by the boxes of a room
-	Saw    func(Arrival)          // called for each command that is a job, one at a time
-	Name   string                 // under which it is listed, "": its address
-	Load   string                 // "answer": load rides on answers; else INFO tells it
-	Extra  func(n uint64) float64 // times the usual work that the n-th request costs, nil for none
+// ServerOptions describe a Box.
+type ServerOptions struct {
+	Params     Params
+	Jobs       map[string]Job // by command, in upper case
+	Seed       uint64
+	Keys       *SubmissionKeys        // shared by the boxes of a room
+	OnArrival  func(Arrival)          // called for each command that is a job, one at a time
+	Name       string                 // under which it is listed, "": its address
+	Load       string                 // "answer": load rides on answers; else INFO tells it
+	WorkFactor func(n uint64) float64 // times the usual work that the n-th request costs, nil for none
 }
 
-// Box is a stand-in of a queue box on a TCP address.
-type Box struct {
+// Server is a stand-in of a queue box on a TCP address.
+type Server struct {
 	addr string
 	name string
-	opt  BoxOptions
+	opt  ServerOptions
 	rng  *rand.Rand
 
 	mu     sync.Mutex // covers all below, and the order of Saw
@@ -78,12 +78,12 @@
 	work   sync.WaitGroup
 }
 
-// NewBox listens on an address; port 0 takes a free one.
-func NewBox(addr string, opt BoxOptions) (*Box, error) {
-	if opt.Memory == nil {
-		opt.Memory = NewMemory()
+// NewServer listens on an address; port 0 takes a free one.
+func NewServer(addr string, opt ServerOptions) (*Server, error) {
+	if opt.Keys == nil {
+		opt.Keys = NewSubmissionKeys()
 	}
-	b := &Box{addr: addr, opt: opt, rng: rand.New(rand.NewPCG(opt.Seed, 1)), model: NewModel(opt.Params),
+	b := &Server{addr: addr, opt: opt, rng: rand.New(rand.NewPCG(opt.Seed, 1)), model: NewModel(opt.Params),
 		conns: map[net.Conn]struct{}{}, base: time.Now()}
 	if err := b.listen(); err != nil {
 		return nil, err
@@ -94,7 +94,7 @@
 	return b, nil
 }
 
-func (b *Box) listen() error {
+func (b *Server) listen() error {
 	ln, err := net.Listen("tcp", b.addr)
 	if err != nil {
 		return fmt.Errorf("box: %w", err)
@@ -106,11 +106,11 @@
 }
 
 // Addr is the address that the box listens on.
-func (b *Box) Addr() string { return b.addr }
+func (b *Server) Addr() string { return b.addr }
 
-func (b *Box) now() float64 { return time.Since(b.base).Seconds() + 1 }
+func (b *Server) now() float64 { return time.Since(b.base).Seconds() + 1 }
 
-func (b *Box) accept(ln net.Listener) {
+func (b *Server) accept(ln net.Listener) {
 	defer b.work.Done()
 	for {
 		c, err := ln.Accept()
@@ -146,7 +146,7 @@
 	c.Close()
 }
 
-func (b *Box) read(c net.Conn, replies chan<- reply) {
+func (b *Server) read(c net.Conn, replies chan<- reply) {
 	defer b.work.Done()
 	defer close(replies)
 	defer func() {
@@ -204,7 +204,7 @@
 	}
 }
 
-func (b *Box) write(c net.Conn, replies <-chan reply) {
+func (b *Server) write(c net.Conn, replies <-chan reply) {
 	defer b.work.Done()
 	for r := range replies {
 		if d := time.Until(r.at); d > 0 {
@@ -223,7 +223,7 @@
 }
 
 // job runs a command.
-func (b *Box) job(instance string, words []string) reply {
+func (b *Server) job(instance string, words []string) reply {
 	j, known := b.opt.Jobs[words[0]]
 	if !known || j.KeyAt >= len(words) {
 		return reply{text: resp.AppendError(nil, "ERR unknown command '"+words[0]+"'")}
@@ -231,36 +231,36 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	at := time.Now()
-	a := Arrival{At: at, Box: b.name, Instance: instance, Words: words}
+	a := Arrival{At: at, Server: b.name, Instance: instance, Words: words}
 	r := b.run(at, j, words, &a)
 	r.mute = words[0] == b.mute
-	if b.opt.Saw != nil {
-		b.opt.Saw(a)
+	if b.opt.OnArrival != nil {
+		b.opt.OnArrival(a)
 	}
 	return r
 }
 
-func (b *Box) run(at time.Time, j Job, words []string, a *Arrival) reply {
-	mem := b.opt.Memory
+func (b *Server) run(at time.Time, j Job, words []string, a *Arrival) reply {
+	mem := b.opt.Keys
 	key := ""
 	if j.KeyAt > 0 {
 		key = words[j.KeyAt]
 		mem.mu.Lock()
 		defer mem.mu.Unlock()
-		if seen, ok := mem.seen[key]; ok && at.Sub(seen.at).Seconds() <= j.KeyS {
+		if seen, ok := mem.seen[key]; ok && at.Sub(seen.at).Seconds() <= j.KeyTTLS {
 			return reply{at: seen.doneAt, text: []byte(seen.reply)}
 		}
 	}
 	work := j.Work * math.Max(0.2, b.rng.ExpFloat64()*0.5+0.5)
-	if b.jobs++; b.opt.Extra != nil {
-		work *= b.opt.Extra(b.jobs)
+	if b.jobs++; b.opt.WorkFactor != nil {
+		work *= b.opt.WorkFactor(b.jobs)
 	}
 	done, ruling := b.model.Offer(b.now(), work)
-	a.Ruling = ruling
+	a.Outcome = ruling
 	switch ruling {
-	case Full:
+	case QueueFull:
 		return reply{text: resp.AppendError(nil, "BUSY the queue is full")}
-	case Fell:
+	case Crashed:
 		b.silent = true
 		return reply{}
 	}
@@ -278,13 +278,13 @@
 	return reply{at: doneAt, text: []byte(text)}
 }
 
-func (b *Box) util() string {
+func (b *Server) util() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return fmt.Sprintf("%.3f", b.model.Util(b.now()))
 }
 
-func (b *Box) info() string {
+func (b *Server) info() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
@@ -292,28 +292,28 @@
 }
 
 // Silent has the box read and run, but answer nothing, or answer again.
-func (b *Box) Silent(on bool) {
+func (b *Server) Silent(on bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.silent = on
 }
 
 // Mute leaves one command unanswered, and those behind it on its connection; "" for none.
-func (b *Box) Mute(command string) {
+func (b *Server) Mute(command string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.mute = command
 }
 
 // Slow makes all work take so many times as long.
-func (b *Box) Slow(factor float64) {
+func (b *Server) Slow(factor float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.model.Slow(factor)
 }
 
 // Down takes the box from the network: connections break and none is taken.
-func (b *Box) Down() {
+func (b *Server) Down() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.ln != nil {
@@ -326,7 +326,7 @@
 }
 
 // Up brings the box back, restarted and cold.
-func (b *Box) Up() error {
+func (b *Server) Up() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.model.Restart(b.now())
@@ -338,7 +338,7 @@
 }
 
 // Close takes the box down and waits for its goroutines.
-func (b *Box) Close() {
+func (b *Server) Close() {
 	b.Down()
 	b.work.Wait()
 }
@@ -348,7 +348,7 @@
 	jobs := map[string]Job{}
 	for _, k := range c.Commands {
 		class := c.Classes[k.Class]
-		jobs[k.Name] = Job{Work: share * class.TargetLatencyS, KeyAt: k.KeyAt, KeyS: class.KeyTTLS}
+		jobs[k.Name] = Job{Work: share * class.TargetLatencyS, KeyAt: k.KeyAt, KeyTTLS: class.KeyTTLS}
 	}
 	return jobs
 }
--- a/internal/standin/eds.go
+++ b/internal/standin/eds.go
@@ -16,8 +16,8 @@
 	"cometpond/policy"
 )
 
-// Told is what a discovery server saw of an instance: it acknowledged a version.
-type Told struct {
+// Acknowledgement is what a discovery server saw of an instance: it acknowledged a version.
+type Acknowledgement struct {
 	At      time.Time
 	Node    string
 	Version int
@@ -35,7 +35,7 @@
 	version int
 	lists   map[int][]policy.Server // by version
 	pushed  []time.Time             // when each version came, from 1 on
-	told    []Told
+	told    []Acknowledgement
 	changed chan struct{} // closed when there is a new version
 }
 
@@ -77,11 +77,11 @@
 	return lists, append([]time.Time(nil), e.pushed...)
 }
 
-// Told returns the acknowledgements so far, in order.
-func (e *EDS) Told() []Told {
+// Acknowledgements returns the acknowledgements so far, in order.
+func (e *EDS) Acknowledgements() []Acknowledgement {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]Told(nil), e.told...)
+	return append([]Acknowledgement(nil), e.told...)
 }
 
 // Close ends the server and its streams.
@@ -105,7 +105,7 @@
 			}
 			v, _ := strconv.Atoi(r.GetVersionInfo())
 			e.mu.Lock()
-			e.told = append(e.told, Told{time.Now(), node, v, r.GetErrorDetail().GetMessage()})
+			e.told = append(e.told, Acknowledgement{time.Now(), node, v, r.GetErrorDetail().GetMessage()})
 			e.mu.Unlock()
 			select {
 			case acks <- struct{}{}:
--- a/internal/standin/model.go
+++ b/internal/standin/model.go
@@ -31,14 +31,14 @@
 
 type offer struct{ at, work float64 }
 
-// Ruling is what becomes of work offered to a box.
-type Ruling int
+// Outcome is what becomes of work offered to a box.
+type Outcome int
 
 // The rulings.
 const (
-	Run  Ruling = iota
-	Full        // turned away unseen
-	Fell        // the box fell over, or had before
+	Accepted  Outcome = iota
+	QueueFull         // turned away unseen
+	Crashed           // the box fell over, or had before
 )
 
 // NewModel returns an idle, warm box.
@@ -54,8 +54,8 @@
 // Slow makes all work take so many times as long, 1 for as usual.
 func (m *Model) Slow(factor float64) { m.slow = factor }
 
-// Fallen tells whether the box has fallen over.
-func (m *Model) Fallen() bool { return m.fallen }
+// Crashed tells whether the box has fallen over.
+func (m *Model) Crashed() bool { return m.fallen }
 
 // warmth is the share of its capacity that the box has.
 func (m *Model) warmth(now float64) float64 {
@@ -67,7 +67,7 @@
 }
 
 // Offer gives the box work, in seconds of a core of speed 1, and tells when it will be done.
-func (m *Model) Offer(now, work float64) (doneAt float64, r Ruling) {
+func (m *Model) Offer(now, work float64) (doneAt float64, r Outcome) {
 	warmth := m.warmth(now)
 	if warmth < 1 && !m.fallen {
 		keep := m.offered[:0]
@@ -84,7 +84,7 @@
 		m.fallen = sum > m.p.FallMultiple*capacity*m.p.FallS+2*most
 	}
 	if m.fallen {
-		return 0, Fell
+		return 0, Crashed
 	}
 	best := 0
 	for i, f := range m.free {
@@ -104,13 +104,13 @@
 	m.pending = keep
 	if start > now {
 		if waiting >= m.p.Queue {
-			return 0, Full
+			return 0, QueueFull
 		}
 		m.pending = append(m.pending, start)
 	}
 	doneAt = start + work*m.slow/(m.p.Speed*warmth)
 	m.free[best] = doneAt
-	return doneAt, Run
+	return doneAt, Accepted
 }
 
 // Util is the share of the cores that is busy now.
--- a/internal/standin/model_test.go
+++ b/internal/standin/model_test.go
@@ -9,8 +9,8 @@
 	m := NewModel(params)
 	for i, want := range []struct {
 		done float64
-		r    Ruling
-	}{{2, Run}, {2, Run}, {3, Run}, {0, Full}} {
+		r    Outcome
+	}{{2, Accepted}, {2, Accepted}, {3, Accepted}, {0, QueueFull}} {
 		if done, r := m.Offer(1, 1); done != want.done || r != want.r {
 			t.Errorf("offer %d: done at %g, %v; want %+v", i, done, r, want)
 		}
@@ -32,26 +32,26 @@
 		t.Errorf("cold work is done at %g, want 1.2", done)
 	}
 	fell := 0
-	for i := 1; i < 60 && !m.Fallen(); i++ {
+	for i := 1; i < 60 && !m.Crashed(); i++ {
 		m.Offer(1+float64(i)*0.01, 0.1)
 		fell = i
 	}
 	// Two cores at half their capacity, twice that for a second, and two pieces of slack: 2.2 seconds of work.
-	if !m.Fallen() || fell < 21 || fell > 23 {
-		t.Errorf("fallen %v after %d pieces", m.Fallen(), fell)
+	if !m.Crashed() || fell < 21 || fell > 23 {
+		t.Errorf("fallen %v after %d pieces", m.Crashed(), fell)
 	}
-	if _, r := m.Offer(100, 0.1); r != Fell {
+	if _, r := m.Offer(100, 0.1); r != Crashed {
 		t.Error("a box that fell over serves again")
 	}
 	m.Restart(200)
-	if _, r := m.Offer(200, 0.1); r != Run {
+	if _, r := m.Offer(200, 0.1); r != Accepted {
 		t.Error("a restarted box does not serve")
 	}
 	warm := NewModel(params)
 	for range 100 {
 		warm.Offer(1, 1)
 	}
-	if warm.Fallen() {
+	if warm.Crashed() {
 		t.Error("a warm box fell over")
 	}
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -27,8 +27,8 @@
 	BornMS int64   `json:"born_ms"`
 }
 
-// Roster stands in for the platform's discovery: HTTP with a long poll.
-type Roster struct {
+// PlatformDiscovery stands in for the platform's discovery: HTTP with a long poll.
+type PlatformDiscovery struct {
 	addr string
 	srv  *http.Server
 
@@ -41,23 +41,23 @@
 	told    map[uint64]time.Time // when each version was first written
 }
 
-// NewRoster serves a list at a free address of loopback.
-func NewRoster(hosts ...PlatformHost) (*Roster, error) {
+// NewPlatformDiscovery serves a list at a free address of loopback.
+func NewPlatformDiscovery(hosts ...PlatformHost) (*PlatformDiscovery, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("roster: %w", err)
 	}
-	r := &Roster{addr: ln.Addr().String(), seq: 1, hosts: hosts, changed: make(chan struct{}), told: map[uint64]time.Time{}}
+	r := &PlatformDiscovery{addr: ln.Addr().String(), seq: 1, hosts: hosts, changed: make(chan struct{}), told: map[uint64]time.Time{}}
 	r.srv = &http.Server{Handler: http.HandlerFunc(r.serve)}
 	go func() { _ = r.srv.Serve(ln) }() // ends with Close
 	return r, nil
 }
 
 // Addr is where it is reached.
-func (r *Roster) Addr() string { return r.addr }
+func (r *PlatformDiscovery) Addr() string { return r.addr }
 
 // Set replaces the list, and returns its version.
-func (r *Roster) Set(hosts ...PlatformHost) (version uint64) {
+func (r *PlatformDiscovery) Set(hosts ...PlatformHost) (version uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.seq++
@@ -67,8 +67,8 @@
 	return r.seq
 }
 
-// ToldAt is when a list of that version or a newer one was first written to a caller, false if none was.
-func (r *Roster) ToldAt(version uint64) (at time.Time, told bool) {
+// FirstServedAt is when a list of that version or a newer one was first written to a caller, false if none was.
+func (r *PlatformDiscovery) FirstServedAt(version uint64) (at time.Time, told bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for v, t := range r.told {
@@ -79,24 +79,24 @@
 	return at, told
 }
 
-// Spoil has f answer calls for which it returns true; nil for none.
-func (r *Roster) Spoil(f func(w http.ResponseWriter, req *http.Request) bool) {
+// Intercept has f answer calls for which it returns true; nil for none.
+func (r *PlatformDiscovery) Intercept(f func(w http.ResponseWriter, req *http.Request) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.spoil = f
 }
 
 // Calls are the calls so far, each as its path with its query.
-func (r *Roster) Calls() []string {
+func (r *PlatformDiscovery) Calls() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]string(nil), r.calls...)
 }
 
 // Close ends it and its connections.
-func (r *Roster) Close() { _ = r.srv.Close() }
+func (r *PlatformDiscovery) Close() { _ = r.srv.Close() }
 
-func (r *Roster) serve(w http.ResponseWriter, req *http.Request) {
+func (r *PlatformDiscovery) serve(w http.ResponseWriter, req *http.Request) {
 	r.mu.Lock()
 	if len(r.calls) < 1000 {
 		r.calls = append(r.calls, req.URL.RequestURI())
@@ -127,14 +127,14 @@
 }
 
 // List is the whole list as it is served.
-func (r *Roster) List() string {
+func (r *PlatformDiscovery) List() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return string(r.list())
 }
 
 // list is List with the lock held.
-func (r *Roster) list() []byte {
+func (r *PlatformDiscovery) list() []byte {
 	text, err := json.Marshal(map[string]any{"seq": r.seq, "whole": true, "hosts": r.hosts})
 	if err != nil {
 		panic(err) // the type has no part that can't be written
@@ -142,8 +142,8 @@
 	return text
 }
 
-// Served is a command that a PlatformBackend took.
-type Served struct {
+// ReceivedCommand is a command that a PlatformBackend took.
+type ReceivedCommand struct {
 	Conn  int // the connection's number
 	Words []string
 }
@@ -153,7 +153,7 @@
 type PlatformBackend struct {
 	ln     net.Listener
 	work   sync.WaitGroup
-	answer func(c net.Conn, s Served)
+	answer func(c net.Conn, s ReceivedCommand)
 
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
@@ -161,7 +161,7 @@
 }
 
 // NewPlatformBackend listens at a free address of loopback.
-func NewPlatformBackend(answer func(c net.Conn, s Served)) (*PlatformBackend, error) {
+func NewPlatformBackend(answer func(c net.Conn, s ReceivedCommand)) (*PlatformBackend, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("backend: %w", err)
@@ -172,8 +172,8 @@
 	return b, nil
 }
 
-// Good is the answer that holds the request's id as its value.
-func Good(s Served) []byte {
+// ValueReply is the answer that holds the request's id as its value.
+func ValueReply(s ReceivedCommand) []byte {
 	out := resp.AppendBulk(resp.AppendArray(nil, 3), "value of "+s.Words[2])
 	return append(out, "$-1\r\n$-1\r\n"...)
 }
@@ -181,12 +181,16 @@
 // Addr is where it is reached.
 func (b *PlatformBackend) Addr() string { return b.ln.Addr().String() }
 
-// Open and Count tell how many connections stand, and how many there were.
-func (b *PlatformBackend) Open() int  { b.mu.Lock(); defer b.mu.Unlock(); return len(b.conns) }
-func (b *PlatformBackend) Count() int { b.mu.Lock(); defer b.mu.Unlock(); return b.count }
+// OpenConnections and Count tell how many connections stand, and how many there were.
+func (b *PlatformBackend) OpenConnections() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return len(b.conns)
+}
+func (b *PlatformBackend) TotalConnections() int { b.mu.Lock(); defer b.mu.Unlock(); return b.count }
 
-// Cut closes all connections; new ones are taken.
-func (b *PlatformBackend) Cut() {
+// CloseConnections closes all connections; new ones are taken.
+func (b *PlatformBackend) CloseConnections() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for c := range b.conns {
@@ -197,7 +201,7 @@
 // Close ends it and waits for what runs.
 func (b *PlatformBackend) Close() {
 	b.ln.Close()
-	b.Cut()
+	b.CloseConnections()
 	b.work.Wait()
 }
 
@@ -231,7 +235,7 @@
 	for {
 		args, used, _, err := resp.Command(in, nil, resp.DefaultLimits)
 		if err == nil {
-			s := Served{Conn: n}
+			s := ReceivedCommand{Conn: n}
 			for _, a := range args {
 				s.Words = append(s.Words, string(a))
 			}
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -8,9 +8,9 @@
 	"sync"
 )
 
-// Relay stands between instances: each direction has a port of its own, on which datagrams to one instance
+// DatagramRelay stands between instances: each direction has a port of its own, on which datagrams to one instance
 // from another come in. It passes, loses or cuts them.
-type Relay struct {
+type DatagramRelay struct {
 	mu    sync.Mutex
 	rng   *rand.Rand
 	loss  float64
@@ -20,10 +20,10 @@
 	work  sync.WaitGroup
 }
 
-// NewRelay opens a port for each pair of the instances at these addresses.
-func NewRelay(instances []string, seed uint64) (*Relay, error) {
+// NewDatagramRelay opens a port for each pair of the instances at these addresses.
+func NewDatagramRelay(instances []string, seed uint64) (*DatagramRelay, error) {
 	n := len(instances)
-	r := &Relay{rng: rand.New(rand.NewPCG(seed, 2)), part: make([]int, n), socks: make([][]*net.UDPConn, n)}
+	r := &DatagramRelay{rng: rand.New(rand.NewPCG(seed, 2)), part: make([]int, n), socks: make([][]*net.UDPConn, n)}
 	for _, a := range instances {
 		to, err := net.ResolveUDPAddr("udp", a)
 		if err != nil {
@@ -51,23 +51,23 @@
 }
 
 // Addr is where one instance sends what is meant for another.
-func (r *Relay) Addr(from, to int) string { return r.socks[from][to].LocalAddr().String() }
+func (r *DatagramRelay) Addr(from, to int) string { return r.socks[from][to].LocalAddr().String() }
 
-// Lose drops this share of the datagrams, at random.
-func (r *Relay) Lose(share float64) {
+// SetLoss drops this share of the datagrams, at random.
+func (r *DatagramRelay) SetLoss(share float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.loss = share
 }
 
-// Split lets datagrams pass only between instances of the same part; all in one part: none is cut.
-func (r *Relay) Split(part []int) {
+// Partition lets datagrams pass only between instances of the same part; all in one part: none is cut.
+func (r *DatagramRelay) Partition(part []int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	copy(r.part, part)
 }
 
-func (r *Relay) carry(c *net.UDPConn, from, to int) {
+func (r *DatagramRelay) carry(c *net.UDPConn, from, to int) {
 	defer r.work.Done()
 	buf := make([]byte, 2048)
 	for {
@@ -87,7 +87,7 @@
 }
 
 // Close ends the relay and waits for its goroutines.
-func (r *Relay) Close() {
+func (r *DatagramRelay) Close() {
 	for _, row := range r.socks {
 		for _, c := range row {
 			if c != nil {
--- a/internal/standin/stream.go
+++ b/internal/standin/stream.go
@@ -14,13 +14,13 @@
 
 // The directions.
 const (
-	Out  Direction = iota // from the one that connected
-	Back                  // to it
+	ToServer Direction = iota // from the one that connected
+	ToClient                  // to it
 )
 
-// Stream stands in front of a TCP server and carries its connections, as a network may: in pieces, slowly, with
+// TCPRelay stands in front of a TCP server and carries its connections, as a network may: in pieces, slowly, with
 // a direction that stops for a while, or broken in the middle of a command or of a reply.
-type Stream struct {
+type TCPRelay struct {
 	addr, to string
 	work     sync.WaitGroup
 
@@ -43,18 +43,18 @@
 // mostPiece is the most that one read takes.
 const mostPiece = 64 << 10
 
-// NewStream listens on an address for a server; port 0 takes a free one.
-func NewStream(addr, to string, seed uint64) (*Stream, error) {
-	s := &Stream{addr: addr, to: to, rng: rand.New(rand.NewPCG(seed, 5)), pairs: map[*pair]struct{}{}}
+// NewTCPRelay listens on an address for a server; port 0 takes a free one.
+func NewTCPRelay(addr, to string, seed uint64) (*TCPRelay, error) {
+	s := &TCPRelay{addr: addr, to: to, rng: rand.New(rand.NewPCG(seed, 5)), pairs: map[*pair]struct{}{}}
 	s.free = sync.NewCond(&s.mu)
 	return s, s.Up()
 }
 
 // Addr is the address that the stream listens on.
-func (s *Stream) Addr() string { return s.addr }
+func (s *TCPRelay) Addr() string { return s.addr }
 
 // Up listens, again after Down.
-func (s *Stream) Up() error {
+func (s *TCPRelay) Up() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ln != nil {
@@ -70,7 +70,7 @@
 	return nil
 }
 
-func (s *Stream) accept(ln net.Listener) {
+func (s *TCPRelay) accept(ln net.Listener) {
 	defer s.work.Done()
 	for {
 		c, err := ln.Accept()
@@ -92,13 +92,13 @@
 		s.pairs[p] = struct{}{}
 		s.work.Add(2)
 		s.mu.Unlock()
-		go s.carry(p, Out)
-		go s.carry(p, Back)
+		go s.carry(p, ToServer)
+		go s.carry(p, ToClient)
 	}
 }
 
 // end breaks both halves.
-func (s *Stream) end(p *pair) {
+func (s *TCPRelay) end(p *pair) {
 	s.mu.Lock()
 	delete(s.pairs, p)
 	p.ended = true
@@ -108,7 +108,7 @@
 	reset(p.ends[1])
 }
 
-func (s *Stream) carry(p *pair, d Direction) {
+func (s *TCPRelay) carry(p *pair, d Direction) {
 	defer s.work.Done()
 	defer s.end(p)
 	from, to := p.ends[d], p.ends[1-d]
@@ -135,7 +135,7 @@
 }
 
 // chunk is how much is read at once: little where it trickles, so that the sender feels it.
-func (s *Stream) chunk() int {
+func (s *TCPRelay) chunk() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.rate > 0 {
@@ -145,7 +145,7 @@
 }
 
 // next waits while the direction is held and draws the next piece.
-func (s *Stream) next(p *pair, d Direction, have int) (size int, pause time.Duration, ok bool) {
+func (s *TCPRelay) next(p *pair, d Direction, have int) (size int, pause time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for s.held[d] && !p.ended {
@@ -162,24 +162,24 @@
 	return size, pause, !p.ended
 }
 
-// Pieces cuts what passes into pieces of 1 to most bytes, 0: as they come.
-func (s *Stream) Pieces(most int) { s.set(func() { s.most = most }) }
+// SetMaxChunk cuts what passes into pieces of 1 to most bytes, 0: as they come.
+func (s *TCPRelay) SetMaxChunk(most int) { s.set(func() { s.most = most }) }
 
-// Trickle lets so many bytes a second pass on each connection and direction, 0: all.
-func (s *Stream) Trickle(rate float64) { s.set(func() { s.rate = rate }) }
+// SetRate lets so many bytes a second pass on each connection and direction, 0: all.
+func (s *TCPRelay) SetRate(rate float64) { s.set(func() { s.rate = rate }) }
 
-// Hold stops a direction, or lets it go on.
-func (s *Stream) Hold(d Direction, on bool) { s.set(func() { s.held[d] = on }) }
+// SetPaused stops a direction, or lets it go on.
+func (s *TCPRelay) SetPaused(d Direction, on bool) { s.set(func() { s.held[d] = on }) }
 
-func (s *Stream) set(f func()) {
+func (s *TCPRelay) set(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
 	s.free.Broadcast()
 }
 
-// Sever breaks all connections, wherever in a command or a reply they are.
-func (s *Stream) Sever() {
+// BreakConnections breaks all connections, wherever in a command or a reply they are.
+func (s *TCPRelay) BreakConnections() {
 	s.mu.Lock()
 	var list []*pair
 	for p := range s.pairs {
@@ -192,18 +192,18 @@
 }
 
 // Down breaks all connections and takes none.
-func (s *Stream) Down() {
+func (s *TCPRelay) Down() {
 	s.mu.Lock()
 	if s.ln != nil {
 		s.ln.Close()
 		s.ln = nil
 	}
 	s.mu.Unlock()
-	s.Sever()
+	s.BreakConnections()
 }
 
 // Close takes the stream down and waits for its goroutines.
-func (s *Stream) Close() {
+func (s *TCPRelay) Close() {
 	s.Down()
 	s.work.Wait()
 }
