--- a/cmd/cometpond/box.go
+++ b/cmd/cometpond/box.go
@@ -41,7 +41,7 @@
 	c.Flags().StringVar(&listen, "listen", "", "address to listen on")
 	c.Flags().IntVar(&p.Cores, "cores", p.Cores, "cores")
 	c.Flags().Float64Var(&p.Speed, "speed", p.Speed, "speed of a core, 1 as usual")
-	c.Flags().IntVar(&p.Queue, "queue", p.Queue, "requests that may wait")
+	c.Flags().IntVar(&p.QueueLength, "queue", p.QueueLength, "requests that may wait")
 	if err := c.MarkFlagRequired("listen"); err != nil {
 		panic(fmt.Sprint("box: ", err))
 	}
--- a/internal/edge/endpoints/endpoints_test.go
+++ b/internal/edge/endpoints/endpoints_test.go
@@ -249,7 +249,7 @@
 	a, b := roster(t, host("s-1")), roster(t, host("s-9"))
 	c, k := follow(t, a.Addr())
 	until(t, "first list", func() bool { n, _ := k.last(); return n == 1 })
-	a.Set(host("s-1"), host("s-2"))
+	a.SetHosts(host("s-1"), host("s-2"))
 	until(t, "the change", func() bool { _, l := k.last(); return len(l.Servers) == 2 })
 	c.Move(b.Addr())
 	until(t, "the list of the new address", func() bool { _, l := k.last(); return l.Whole && len(l.Servers) == 1 && l.Servers[0].ID == "s-9" })
@@ -350,7 +350,7 @@
 		}
 		return false
 	})
-	r.Set(host("s-1"), host("s-2"))
+	r.SetHosts(host("s-1"), host("s-2"))
 	until(t, "another watch is open", func() bool { return len(r.Calls()) == 3 })
 	c.Move(r.Addr())
 	until(t, "the whole list is asked for", func() bool { calls := r.Calls(); return len(calls) > 3 && calls[3] == "/api/targets" })
--- a/internal/edge/serve_test.go
+++ b/internal/edge/serve_test.go
@@ -314,7 +314,7 @@
 		h := p.hosts[0]
 		h.Host = fmt.Sprint("s-new-", i)
 		h.BornMS = time.Now().Add(-time.Minute).UnixMilli()
-		p.roster.Set(h)
+		p.roster.SetHosts(h)
 		until(t, "the new one is listed", func() bool { return e.loop.Beliefs()[0].Server.ID == h.Host })
 	}
 	until(t, "the old connections end", func() bool { return p.backends[0].OpenConnections() <= 1 && len(e.pool.ConnectionStats()) == 1 })
@@ -347,7 +347,7 @@
 	until(t, "the new discovery is asked", func() bool { return len(next.Calls()) > 1 })
 	second := p.hosts[0]
 	second.Host = "s-second"
-	next.Set(p.hosts[0], second)
+	next.SetHosts(p.hosts[0], second)
 	until(t, "its changes come", func() bool { return len(e.loop.Beliefs()) == 2 })
 	close(hold)
 	busy.expect("value of 00000000000000ee")
@@ -436,7 +436,7 @@
 		for i := range hosts {
 			hosts[i].Host = fmt.Sprint("r-", round, "-", i)
 		}
-		p.roster.Set(hosts...)
+		p.roster.SetHosts(hosts...)
 		until(t, "the new backends are listed", func() bool { return e.loop.Beliefs()[0].Server.ID == hosts[0].Host })
 	}
 	until(t, "all is let go", func() bool {
--- a/internal/instance/measure_test.go
+++ b/internal/instance/measure_test.go
@@ -174,7 +174,7 @@
 	var list []string
 	for i := range 3 {
 		p := standin.DefaultParams
-		p.Cores, p.Queue = 64, 100000
+		p.Cores, p.QueueLength = 64, 100000
 		b, err := standin.NewServer("127.0.0.1:0", standin.ServerOptions{Params: p, Seed: uint64(i), Jobs: map[string]standin.Job{"JOB.STATUS": {Work: work}}})
 		if err != nil {
 			tb.Fatal(err)
--- a/internal/soak/trouble.go
+++ b/internal/soak/trouble.go
@@ -313,7 +313,7 @@
 	for i, n := range f.members {
 		var versions [2]uint64
 		for k, r := range n.roster {
-			versions[k] = r.Set(f.hosts(i)...)
+			versions[k] = r.SetHosts(f.hosts(i)...)
 		}
 		d.versions = append(d.versions, versions)
 	}
--- a/internal/standin/model.go
+++ b/internal/standin/model.go
@@ -6,17 +6,17 @@
 
 // Params describe a box. Times are in seconds.
 type Params struct {
-	Cores        int
-	Queue        int     // requests waiting, beyond which work is turned away
-	Speed        float64 // of a core; 1 does one second of work a second
-	ColdFrom     float64 // share of its capacity just after its start
-	ColdS        float64 // until it is warm
-	FallMultiple float64 // sent more than this multiple of its capacity
-	FallS        float64 // for so long while cold, it falls over
+	Cores            int
+	QueueLength      int     // requests waiting, beyond which work is turned away
+	Speed            float64 // of a core; 1 does one second of work a second
+	ColdStartShare   float64 // share of its capacity just after its start
+	ColdPeriodS      float64 // until it is warm
+	OverloadMultiple float64 // sent more than this multiple of its capacity
+	OverloadWindowS  float64 // for so long while cold, it falls over
 }
 
 // DefaultParams are a box of three cores.
-var DefaultParams = Params{Cores: 3, Queue: 48, Speed: 1, ColdFrom: 0.3, ColdS: 10, FallMultiple: 2, FallS: 1.5}
+var DefaultParams = Params{Cores: 3, QueueLength: 48, Speed: 1, ColdStartShare: 0.3, ColdPeriodS: 10, OverloadMultiple: 2, OverloadWindowS: 1.5}
 
 // Model is the state of a box's cores and queue: first come, first served. It has no clock and no I/O.
 type Model struct {
@@ -60,10 +60,10 @@
 // warmth is the share of its capacity that the box has.
 func (m *Model) warmth(now float64) float64 {
 	age := now - m.started
-	if m.started == 0 || age >= m.p.ColdS {
+	if m.started == 0 || age >= m.p.ColdPeriodS {
 		return 1
 	}
-	return m.p.ColdFrom + (1-m.p.ColdFrom)*max(age, 0)/m.p.ColdS
+	return m.p.ColdStartShare + (1-m.p.ColdStartShare)*max(age, 0)/m.p.ColdPeriodS
 }
 
 // Offer gives the box work, in seconds of a core of speed 1, and tells when it will be done.
@@ -73,7 +73,7 @@
 		keep := m.offered[:0]
 		sum, most := work, work
 		for _, o := range m.offered {
-			if now-o.at < m.p.FallS {
+			if now-o.at < m.p.OverloadWindowS {
 				keep = append(keep, o)
 				sum, most = sum+o.work, max(most, o.work)
 			}
@@ -81,7 +81,7 @@
 		m.offered = append(keep, offer{now, work})
 		capacity := float64(m.p.Cores) * m.p.Speed * warmth / m.slow
 		// A little slack for chance: the two largest pieces may come together.
-		m.fallen = sum > m.p.FallMultiple*capacity*m.p.FallS+2*most
+		m.fallen = sum > m.p.OverloadMultiple*capacity*m.p.OverloadWindowS+2*most
 	}
 	if m.fallen {
 		return 0, Crashed
@@ -103,7 +103,7 @@
 	}
 	m.pending = keep
 	if start > now {
-		if waiting >= m.p.Queue {
+		if waiting >= m.p.QueueLength {
 			return 0, QueueFull
 		}
 		m.pending = append(m.pending, start)
--- a/internal/standin/model_test.go
+++ b/internal/standin/model_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-var params = Params{Cores: 2, Queue: 1, Speed: 1, ColdFrom: 0.5, ColdS: 10, FallMultiple: 2, FallS: 1}
+var params = Params{Cores: 2, QueueLength: 1, Speed: 1, ColdStartShare: 0.5, ColdPeriodS: 10, OverloadMultiple: 2, OverloadWindowS: 1}
 
 // Two cores, one place to wait: what comes first is served first, and what finds no place is turned away.
 func TestModelQueues(t *testing.T) {
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -56,8 +56,8 @@
 // Addr is where it is reached.
 func (r *PlatformDiscovery) Addr() string { return r.addr }
 
-// Set replaces the list, and returns its version.
-func (r *PlatformDiscovery) Set(hosts ...PlatformHost) (version uint64) {
+// SetHosts replaces the list, and returns its version.
+func (r *PlatformDiscovery) SetHosts(hosts ...PlatformHost) (version uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.seq++
