--- a/internal/faults/inject.go
+++ b/internal/faults/inject.go
@@ -37,7 +37,7 @@
 	Write      Call = "write"
 )
 
-var numbers = map[Call]int{
+var callNumbers = map[Call]int{
 	Accept: unix.SYS_ACCEPT4, Bind: unix.SYS_BIND, Connect: unix.SYS_CONNECT, Fcntl: unix.SYS_FCNTL, EpollCtl: unix.SYS_EPOLL_CTL,
 	EpollWait: unix.SYS_EPOLL_WAIT, EpollPwait: unix.SYS_EPOLL_PWAIT, Fsync: unix.SYS_FSYNC, Getsockopt: unix.SYS_GETSOCKOPT,
 	Open: unix.SYS_OPENAT, Read: unix.SYS_READ, Recvfrom: unix.SYS_RECVFROM, Rename: unix.SYS_RENAMEAT,
@@ -74,12 +74,12 @@
 	pidfd    int
 	done     chan struct{}
 
-	mu     sync.Mutex
-	rng    *rand.Rand
-	faults []Fault
-	setAt  time.Time // when the faults came into force
-	left   []int     // times, of each of faults
-	counts map[Call]int
+	mu        sync.Mutex
+	rng       *rand.Rand
+	faults    []Fault
+	setAt     time.Time // when the faults came into force
+	remaining []int     // times, of each of faults
+	counts    map[Call]int
 }
 
 func newInjector(listener, pid int, first []Fault) (*Injector, error) {
@@ -108,9 +108,9 @@
 func (in *Injector) Set(faults ...Fault) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.faults, in.left, in.setAt = faults, make([]int, len(faults)), time.Now()
+	in.faults, in.remaining, in.setAt = faults, make([]int, len(faults)), time.Now()
 	for i, f := range faults {
-		in.left[i] = f.MaxCount
+		in.remaining[i] = f.MaxCount
 	}
 }
 
@@ -143,30 +143,30 @@
 	flags uint32
 }
 
-// pollMS is the time between two looks whether the process is gone.
-const pollMS = 200
+// pollIntervalMS is the time between two looks whether the process is gone.
+const pollIntervalMS = 200
 
 func (in *Injector) serve() {
 	defer unix.Close(in.listener)
 	defer unix.Close(in.pidfd)
 	for {
 		ready := []unix.PollFd{{Fd: int32(in.listener), Events: unix.POLLIN}}
-		if n, err := unix.Poll(ready, pollMS); n == 0 || err == unix.EINTR {
+		if n, err := unix.Poll(ready, pollIntervalMS); n == 0 || err == unix.EINTR {
 			continue
 		} else if err != nil || ready[0].Revents&unix.POLLIN == 0 {
 			return // the last process under the filter is gone
 		}
 		var n notification
-		if in.control(unix.SECCOMP_IOCTL_NOTIF_RECV, unsafe.Pointer(&n)) != nil {
+		if in.ioctl(unix.SECCOMP_IOCTL_NOTIF_RECV, unsafe.Pointer(&n)) != nil {
 			continue // the call was given up meanwhile
 		}
 		r := in.decide(&n)
 		r.id = n.id
-		_ = in.control(unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&r)) // an error means that the call was given up
+		_ = in.ioctl(unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&r)) // an error means that the call was given up
 	}
 }
 
-func (in *Injector) control(request uintptr, data unsafe.Pointer) error {
+func (in *Injector) ioctl(request uintptr, data unsafe.Pointer) error {
 	for {
 		_, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(in.listener), request, uintptr(data))
 		switch errno {
@@ -187,7 +187,7 @@
 		return goOn
 	}
 	if f.MaxBytes > 0 {
-		r, moved := in.part(n, fd, f.MaxBytes)
+		r, moved := in.transferPart(n, fd, f.MaxBytes)
 		if !moved {
 			return goOn
 		}
@@ -195,10 +195,10 @@
 		return r
 	}
 	if f.BreakConnection {
-		in.sever(fd)
+		in.breakConnection(fd)
 	}
 	if f.Call == Connect && f.Errno == unix.EINTR {
-		in.connect(n, fd)
+		in.startConnect(n, fd)
 	}
 	in.count(f.Call)
 	return response{errno: -int32(f.Errno)}
@@ -220,7 +220,7 @@
 	defer in.mu.Unlock()
 	for i := range in.faults {
 		f := &in.faults[i]
-		if int(n.number) != numbers[f.Call] || f.MaxCount > 0 && in.left[i] == 0 || in.rng.Float64() >= f.Probability {
+		if int(n.number) != callNumbers[f.Call] || f.MaxCount > 0 && in.remaining[i] == 0 || in.rng.Float64() >= f.Probability {
 			continue
 		}
 		if whole := f.Burst + f.Pause; f.Burst > 0 && time.Since(in.setAt)%whole >= f.Burst {
@@ -232,7 +232,7 @@
 		if n.number == unix.SYS_FCNTL && n.args[1] != unix.F_DUPFD_CLOEXEC && n.args[1] != unix.F_DUPFD {
 			continue
 		}
-		in.left[i]--
+		in.remaining[i]--
 		return f, fd
 	}
 	return nil, fd
@@ -241,7 +241,7 @@
 // target is what a call refers to: the path of openat and renameat, and of others that of their descriptor.
 func (in *Injector) target(n *notification, fd int) string {
 	if n.number == unix.SYS_OPENAT || n.number == unix.SYS_RENAMEAT {
-		return in.text(n.args[1])
+		return in.readString(n.args[1])
 	}
 	path, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", in.pid, fd))
 	if err != nil {
@@ -267,13 +267,13 @@
 	return false
 }
 
-// pathMost bounds a path that is read from the process, bytes.
-const pathMost = 512
+// maxPathBytes bounds a path that is read from the process, bytes.
+const maxPathBytes = 512
 
-// text reads a string of the process.
-func (in *Injector) text(address uint64) string {
-	b := make([]byte, pathMost)
-	n, err := in.peek(address, b)
+// readString reads a string of the process.
+func (in *Injector) readString(address uint64) string {
+	b := make([]byte, maxPathBytes)
+	n, err := in.readMemory(address, b)
 	if err != nil {
 		return ""
 	}
@@ -281,15 +281,15 @@
 	return text
 }
 
-func (in *Injector) peek(address uint64, b []byte) (int, error) {
+func (in *Injector) readMemory(address uint64, b []byte) (int, error) {
 	local := []unix.Iovec{{Base: &b[0], Len: uint64(len(b))}}
 	remote := []unix.RemoteIovec{{Base: uintptr(address), Len: len(b)}}
 	return unix.ProcessVMReadv(in.pid, local, remote, 0)
 }
 
-// part carries out a read or a write on a socket for so many bytes at most; false if the call is of another kind, or moves
+// transferPart carries out a read or a write on a socket for so many bytes at most; false if the call is of another kind, or moves
 // no more than that by itself.
-func (in *Injector) part(n *notification, fd, most int) (r response, moved bool) {
+func (in *Injector) transferPart(n *notification, fd, most int) (r response, moved bool) {
 	size := int(n.args[2])
 	if size <= most || n.number != unix.SYS_READ && n.number != unix.SYS_WRITE {
 		return r, false
@@ -301,46 +301,46 @@
 	defer unix.Close(own)
 	b := make([]byte, most)
 	if n.number == unix.SYS_WRITE {
-		if _, err := in.peek(n.args[1], b); err != nil {
+		if _, err := in.readMemory(n.args[1], b); err != nil {
 			return r, false
 		}
 		sent, err := unix.SendmsgN(own, b, nil, nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
-		return result(sent, err), true
+		return toResponse(sent, err), true
 	}
 	got, _, err := unix.Recvfrom(own, b, unix.MSG_DONTWAIT)
 	if err != nil || got <= 0 {
-		return result(got, err), true
+		return toResponse(got, err), true
 	}
 	local := []unix.Iovec{{Base: &b[0], Len: uint64(got)}}
 	remote := []unix.RemoteIovec{{Base: uintptr(n.args[1]), Len: got}}
 	if _, err := unix.ProcessVMWritev(in.pid, local, remote, 0); err != nil {
 		return response{errno: -int32(unix.EFAULT)}, true
 	}
-	return result(got, nil), true
+	return toResponse(got, nil), true
 }
 
-func result(n int, err error) response {
+func toResponse(n int, err error) response {
 	if errno, is := err.(unix.Errno); is {
 		return response{errno: -int32(errno)}
 	}
 	return response{value: int64(n)}
 }
 
-// connect begins what the process asked for: an interrupted connect goes on by itself.
-func (in *Injector) connect(n *notification, fd int) {
+// startConnect begins what the process asked for: an interrupted connect goes on by itself.
+func (in *Injector) startConnect(n *notification, fd int) {
 	own, err := unix.PidfdGetfd(in.pidfd, fd, 0)
 	if err != nil {
 		return
 	}
 	defer unix.Close(own)
 	name := make([]byte, n.args[2])
-	if _, err := in.peek(n.args[1], name); err == nil {
+	if _, err := in.readMemory(n.args[1], name); err == nil {
 		_, _, _ = unix.Syscall(unix.SYS_CONNECT, uintptr(own), uintptr(unsafe.Pointer(&name[0])), uintptr(len(name)))
 	}
 }
 
-// sever ends a connection of the process in both directions.
-func (in *Injector) sever(fd int) {
+// breakConnection ends a connection of the process in both directions.
+func (in *Injector) breakConnection(fd int) {
 	own, err := unix.PidfdGetfd(in.pidfd, fd, 0)
 	if err != nil {
 		return
--- a/internal/faults/launch.go
+++ b/internal/faults/launch.go
@@ -39,11 +39,11 @@
 	if list == "" {
 		return
 	}
-	fmt.Fprintln(os.Stderr, "faults:", trap(list)) // it returns only after an error
+	fmt.Fprintln(os.Stderr, "faults:", trapCalls(list)) // it returns only after an error
 	os.Exit(1)
 }
 
-func trap(list string) error {
+func trapCalls(list string) error {
 	runtime.LockOSThread() // the filter is this thread's until the program begins anew
 	var calls []uint32
 	for text := range strings.SplitSeq(list, ",") {
@@ -53,7 +53,7 @@
 		}
 		calls = append(calls, uint32(n))
 	}
-	listener, err := install(calls)
+	listener, err := installFilter(calls)
 	if err != nil {
 		return err
 	}
@@ -81,8 +81,8 @@
 	offsetArch   = 4
 )
 
-// install has the kernel ask about the calls of these numbers, and returns where it asks.
-func install(calls []uint32) (listener int, err error) {
+// installFilter has the kernel ask about the calls of these numbers, and returns where it asks.
+func installFilter(calls []uint32) (listener int, err error) {
 	load := func(offset uint32) unix.SockFilter {
 		return unix.SockFilter{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: offset}
 	}
@@ -121,7 +121,7 @@
 	defer unix.Close(ours)
 	var names []string
 	for _, c := range calls {
-		n, known := numbers[c]
+		n, known := callNumbers[c]
 		if !known {
 			theirs.Close()
 			return nil, fmt.Errorf("faults: unknown call %q", c)
@@ -138,7 +138,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("faults: %w", err)
 	}
-	listener, err := receive(ours)
+	listener, err := receiveDescriptor(ours)
 	if err != nil {
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
@@ -147,8 +147,8 @@
 	return newInjector(listener, cmd.Process.Pid, first)
 }
 
-// receive takes a descriptor over a socket.
-func receive(socket int) (fd int, err error) {
+// receiveDescriptor takes a descriptor over a socket.
+func receiveDescriptor(socket int) (fd int, err error) {
 	data, control := make([]byte, 1), make([]byte, unix.CmsgSpace(4))
 	_, n, _, _, err := unix.Recvmsg(socket, data, control, unix.MSG_CMSG_CLOEXEC)
 	if err != nil {
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -16,40 +16,40 @@
 
 // client asks one request after the other, over one connection for as long as that stands.
 type client struct {
-	fleet *fleet
-	rng   *rand.Rand
-	conn  net.Conn
-	in    *bufio.Reader
-	to    *ingress
-	life  int
-	count int // requests over the connection
+	fleet        *fleet
+	rng          *rand.Rand
+	conn         net.Conn
+	reader       *bufio.Reader
+	ingress      *ingress
+	process      int
+	requestCount int // requests over the connection
 }
 
 // Clients' habits.
 const (
-	leaveShare  = 0.03 // of the requests, in which the client leaves while it waits
-	renewShare  = 0.05 // after which it opens another connection
-	thinkMean   = 15 * time.Millisecond
-	dialTimeout = time.Second
-	outFor      = 300 * time.Millisecond // an ingress that refused a connection is left alone
+	disconnectShare = 0.03 // of the requests, in which the client leaves while it waits
+	reconnectShare  = 0.05 // after which it opens another connection
+	meanThinkTime   = 15 * time.Millisecond
+	dialTimeout     = time.Second
+	refusedPause    = 300 * time.Millisecond // an ingress that refused a connection is left alone
 )
 
 func (c *client) run() {
-	defer c.hangUp()
-	for !c.fleet.over() {
+	defer c.closeConnection()
+	for !c.fleet.finished() {
 		if c.conn == nil && !c.connect() {
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		c.ask()
-		time.Sleep(time.Duration(c.rng.ExpFloat64() * float64(thinkMean)))
-		if c.conn != nil && c.rng.Float64() < renewShare {
-			c.hangUp()
+		c.sendRequest()
+		time.Sleep(time.Duration(c.rng.ExpFloat64() * float64(meanThinkTime)))
+		if c.conn != nil && c.rng.Float64() < reconnectShare {
+			c.closeConnection()
 		}
 	}
 }
 
-func (c *client) hangUp() {
+func (c *client) closeConnection() {
 	if c.conn != nil {
 		c.conn.Close()
 		c.conn = nil
@@ -63,65 +63,65 @@
 	}
 	conn, err := net.DialTimeout("tcp", n.cfg.listen, dialTimeout)
 	if err != nil {
-		n.leaveAlone(outFor)
+		n.avoidFor(refusedPause)
 		return false
 	}
-	c.conn, c.in, c.to, c.life, c.count = conn, bufio.NewReader(conn), n, life, 0
+	c.conn, c.reader, c.ingress, c.process, c.requestCount = conn, bufio.NewReader(conn), n, life, 0
 	return true
 }
 
-// ask sends one request and waits for what becomes of it.
-func (c *client) ask() {
+// sendRequest sends one request and waits for what becomes of it.
+func (c *client) sendRequest() {
 	class := c.fleet.classes[c.rng.IntN(len(c.fleet.classes))]
-	q := Request{ID: c.fleet.newID(), Class: class, Ingress: c.to.number, Life: c.life, First: c.count == 0}
-	c.count++
+	q := Request{ID: c.fleet.newID(), Class: class, Ingress: c.ingress.number, Process: c.process, First: c.requestCount == 0}
+	c.requestCount++
 	pairs := fmt.Sprintf("c=%s,t=basic,d=%d", class.Name, class.Deadline.Milliseconds())
 	if class.Keyed {
 		pairs += fmt.Sprintf(",k=%016x", c.rng.Uint64())
 	}
 	customer := fmt.Sprintf("%016x", c.rng.IntN(40))
 	command := resp.AppendCommand(nil, class.Command, customer, q.ID, pairs+fmt.Sprintf(",units=1,spread=%d,first=0", c.fleet.ingresses))
-	_ = c.conn.SetDeadline(time.Now().Add(class.Deadline + lateMost + time.Second))
+	_ = c.conn.SetDeadline(time.Now().Add(class.Deadline + maxLateness + time.Second))
 	if _, err := c.conn.Write(command); err != nil {
-		q.Sent, q.End, q.EndedAt, q.Text = time.Now(), Unsent, time.Now(), err.Error()
-		c.hangUp()
+		q.Sent, q.Outcome, q.EndedAt, q.Text = time.Now(), Unsent, time.Now(), err.Error()
+		c.closeConnection()
 		c.record(q)
 		return
 	}
 	q.Sent = time.Now()
 	q.Deadline = q.Sent.Add(class.Deadline)
-	if c.rng.Float64() < leaveShare {
-		c.leave(&q)
+	if c.rng.Float64() < disconnectShare {
+		c.disconnect(&q)
 	} else {
-		c.wait(&q)
+		c.awaitReply(&q)
 	}
 	c.record(q)
 }
 
-// leave closes the connection after a while, whether or not an answer has come by then.
-func (c *client) leave(q *Request) {
-	time.Sleep(time.Duration(c.rng.Float64() * float64(4*serviceMean)))
-	c.hangUp()
-	q.End, q.EndedAt = Left, time.Now()
+// disconnect closes the connection after a while, whether or not an answer has come by then.
+func (c *client) disconnect(q *Request) {
+	time.Sleep(time.Duration(c.rng.Float64() * float64(4*meanServiceTime)))
+	c.closeConnection()
+	q.Outcome, q.EndedAt = Disconnected, time.Now()
 }
 
-func (c *client) wait(q *Request) {
-	text, err := answer(c.in)
+func (c *client) awaitReply(q *Request) {
+	text, err := readReply(c.reader)
 	q.EndedAt, q.Text = time.Now(), text
 	var timeout net.Error
 	switch {
 	case err == nil && text == "value of "+q.ID:
-		q.End = Served
+		q.Outcome = Served
 	case err == nil && strings.HasPrefix(text, "-"):
-		q.End = Answered
+		q.Outcome = ErrorReply
 	case err == nil:
-		q.End = Wrong
+		q.Outcome = WrongValue
 	case errors.As(err, &timeout) && timeout.Timeout():
-		q.End, q.Text = Silent, err.Error()
-		c.hangUp()
+		q.Outcome, q.Text = TimedOut, err.Error()
+		c.closeConnection()
 	default:
-		q.End, q.Text = Ended, err.Error()
-		c.hangUp()
+		q.Outcome, q.Text = ConnectionClosed, err.Error()
+		c.closeConnection()
 	}
 }
 
@@ -132,8 +132,8 @@
 	r.requests = append(r.requests, q)
 }
 
-// answer reads one answer: a bulk string's text, or a line.
-func answer(in *bufio.Reader) (string, error) {
+// readReply reads one answer: a bulk string's text, or a line.
+func readReply(in *bufio.Reader) (string, error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
 		return line, err
--- a/internal/soak/deployment.go
+++ b/internal/soak/deployment.go
@@ -48,8 +48,8 @@
 
 // A process is killed no sooner than the longest deadline, counted as 3 s at most, and 0.7 s after it was told to end.
 const (
-	countedMost = 3 * time.Second
-	killBehind  = 700 * time.Millisecond
+	maxCountedDeadline = 3 * time.Second
+	killDelay          = 700 * time.Millisecond
 )
 
 func (d *deployment) killAfter() time.Duration {
@@ -57,7 +57,7 @@
 	for _, c := range d.classes {
 		longest = max(longest, c.Deadline)
 	}
-	return min(longest, countedMost) + killBehind
+	return min(longest, maxCountedDeadline) + killDelay
 }
 
 // settings is the settings object of one ingress.
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -38,20 +38,20 @@
 // fleet is a run under way.
 type fleet struct {
 	deployment
-	seed    uint64
-	record  *Record
-	program func() *exec.Cmd
-	members []*ingress
-	end     time.Time
-	lastID  atomic.Uint64
-	work    sync.WaitGroup // troubles that go on by themselves
+	seed        uint64
+	record      *Record
+	program     func() *exec.Cmd
+	ingressList []*ingress
+	end         time.Time
+	lastID      atomic.Uint64
+	background  sync.WaitGroup // troubles that go on by themselves
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	servers []*server // listed, in order of their start
-	gone    []*server // not listed any more, and serving on
-	drains  []pendingDrain
-	named   int
+	mu          sync.Mutex
+	rng         *rand.Rand
+	servers     []*server // listed, in order of their start
+	delisted    []*server // not listed any more, and serving on
+	drains      []pendingDrain
+	serverCount int
 }
 
 // pendingDrain is a drain that each ingress is told of by a version of the list.
@@ -63,23 +63,23 @@
 
 // Sizes of a fleet.
 const (
-	serversAtStart = 4
-	clientsEach    = 6 // of an ingress
-	crowdEach      = 200
+	initialServers            = 4
+	clientsPerIngress         = 6 // of an ingress
+	idleConnectionsPerIngress = 200
 )
 
 // Run plays one run and judges it.
 func Run(o Options) (*Report, error) {
 	rng := rand.New(rand.NewPCG(o.Seed, 7))
 	f := &fleet{deployment: drawDeployment(rng, o.IdleClients), seed: o.Seed, program: o.Program, rng: rng}
-	f.record = &Record{Crowd: o.IdleClients, start: time.Now(), lives: make([][]*Life, f.ingresses)}
+	f.record = &Record{IdleClients: o.IdleClients, start: time.Now(), processes: make([][]*Process, f.ingresses)}
 	defer f.close()
-	for range serversAtStart {
+	for range initialServers {
 		if err := f.addServer(); err != nil {
 			return nil, err
 		}
 	}
-	if err := f.begin(o.Folder); err != nil {
+	if err := f.startAll(o.Folder); err != nil {
 		return nil, err
 	}
 	f.record.start = time.Now()
@@ -89,7 +89,7 @@
 	f.resolveDrains()
 	r := &Report{FailedCalls: failed, Events: f.record.events}
 	r.Violations, r.Sent, r.Served = f.record.Judge()
-	for _, n := range f.members {
+	for _, n := range f.ingressList {
 		r.Logs = append(r.Logs, n.log.String())
 	}
 	return r, err
@@ -102,14 +102,14 @@
 	work.Add(1)
 	go func() {
 		defer work.Done()
-		f.record.watchOwnStalls(stopped)
+		f.record.watchOwnPauses(stopped)
 	}()
 	var crowd []net.Conn
 	if o.IdleClients {
-		crowd = f.crowd()
+		crowd = f.openIdleConnections()
 	}
 	var clients sync.WaitGroup
-	for i := range clientsEach * f.ingresses {
+	for i := range clientsPerIngress * f.ingresses {
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
@@ -117,9 +117,9 @@
 			c.run()
 		}()
 	}
-	err := f.troubles()
+	err := f.playFaults()
 	clients.Wait()
-	f.work.Wait()
+	f.background.Wait()
 	for _, c := range crowd {
 		c.Close()
 	}
@@ -128,8 +128,8 @@
 	return err
 }
 
-// begin starts all ingresses.
-func (f *fleet) begin(folder string) error {
+// startAll starts all ingresses.
+func (f *fleet) startAll(folder string) error {
 	var peers []string
 	for range f.ingresses {
 		addr, err := freeUDP()
@@ -140,7 +140,7 @@
 	}
 	for i := range f.ingresses {
 		n := &ingress{fleet: f, number: i}
-		f.members = append(f.members, n)
+		f.ingressList = append(f.ingressList, n)
 		listen, err := freeTCP()
 		if err != nil {
 			return err
@@ -150,15 +150,15 @@
 			return fmt.Errorf("soak: %w", err)
 		}
 		n.cfg = &configuration{folder: home, listen: listen, peerListen: peers[i], peers: peers}
-		for k := range n.roster {
-			if n.roster[k], err = standin.NewPlatformDiscovery(f.hosts(i)...); err != nil {
+		for k := range n.discovery {
+			if n.discovery[k], err = standin.NewPlatformDiscovery(f.hosts(i)...); err != nil {
 				return err
 			}
 		}
 	}
-	errs := make([]error, len(f.members))
+	errs := make([]error, len(f.ingressList))
 	var work sync.WaitGroup
-	for i, n := range f.members {
+	for i, n := range f.ingressList {
 		work.Add(1)
 		go func() {
 			defer work.Done()
@@ -171,26 +171,26 @@
 
 // stop ends all processes, and tells how many calls were made to fail.
 func (f *fleet) stop() (failed int) {
-	for _, n := range f.members {
+	for _, n := range f.ingressList {
 		n.stop()
 	}
-	for _, n := range f.members {
-		failed += n.failed
+	for _, n := range f.ingressList {
+		failed += n.failedCalls
 	}
 	return failed
 }
 
 func (f *fleet) close() {
-	for _, n := range f.members {
+	for _, n := range f.ingressList {
 		n.stop()
 	}
-	for _, s := range append(f.servers, f.gone...) {
+	for _, s := range append(f.servers, f.delisted...) {
 		s.close()
 	}
 }
 
-// over tells that clients begin no more requests.
-func (f *fleet) over() bool { return time.Now().After(f.end) }
+// finished tells that clients begin no more requests.
+func (f *fleet) finished() bool { return time.Now().After(f.end) }
 
 func (f *fleet) newID() string { return fmt.Sprintf("%016x", f.lastID.Add(1)) }
 
@@ -201,8 +201,8 @@
 	return f.rng.IntN(n)
 }
 
-// mark changes what the record holds.
-func (f *fleet) mark(change func()) {
+// updateRecord changes what the record holds.
+func (f *fleet) updateRecord(change func()) {
 	f.record.mu.Lock()
 	defer f.record.mu.Unlock()
 	change()
@@ -210,11 +210,11 @@
 
 // pick returns an ingress that the front sends clients to, and which of its processes runs; nil if there is none.
 func (f *fleet) pick(rng *rand.Rand) (*ingress, int) {
-	from := rng.IntN(len(f.members))
-	for k := range f.members {
-		n := f.members[(from+k)%len(f.members)]
+	from := rng.IntN(len(f.ingressList))
+	for k := range f.ingressList {
+		n := f.ingressList[(from+k)%len(f.ingressList)]
 		n.mu.Lock()
-		ok, life := n.inFront && time.Now().After(n.outUntil), len(n.lives)-1
+		ok, life := n.accepting && time.Now().After(n.refusingUntil), len(n.processes)-1
 		n.mu.Unlock()
 		if ok {
 			return n, life
@@ -223,10 +223,10 @@
 	return nil, 0
 }
 
-// crowd opens idle connections to every ingress.
-func (f *fleet) crowd() (list []net.Conn) {
-	for _, n := range f.members {
-		for range crowdEach {
+// openIdleConnections opens idle connections to every ingress.
+func (f *fleet) openIdleConnections() (list []net.Conn) {
+	for _, n := range f.ingressList {
+		for range idleConnectionsPerIngress {
 			if c, err := net.DialTimeout("tcp", n.cfg.listen, dialTimeout); err == nil {
 				list = append(list, c)
 			}
@@ -238,13 +238,13 @@
 
 // Stalls of this process of which times near them are not judged.
 const (
-	stallLook  = 10 * time.Millisecond
-	stallLeast = 30 * time.Millisecond
+	pauseCheckInterval = 10 * time.Millisecond
+	minPause           = 30 * time.Millisecond
 )
 
-// watchOwnStalls notes when this process stood still: then what it saw may be older than it seems.
-func (r *Record) watchOwnStalls(stopped <-chan struct{}) {
-	tick := time.NewTicker(stallLook)
+// watchOwnPauses notes when this process stood still: then what it saw may be older than it seems.
+func (r *Record) watchOwnPauses(stopped <-chan struct{}) {
+	tick := time.NewTicker(pauseCheckInterval)
 	defer tick.Stop()
 	last := time.Now()
 	for {
@@ -254,8 +254,8 @@
 		case <-tick.C:
 		}
 		now := time.Now()
-		if now.Sub(last) > stallLook+stallLeast {
-			r.blur(Span{last, now.Add(stallLook)})
+		if now.Sub(last) > pauseCheckInterval+minPause {
+			r.addPause(Span{last, now.Add(pauseCheckInterval)})
 		}
 		last = now
 	}
--- a/internal/soak/ingress.go
+++ b/internal/soak/ingress.go
@@ -15,24 +15,24 @@
 
 // ingress is one ingress of the fleet, process after process.
 type ingress struct {
-	fleet  *fleet
-	number int
-	cfg    *configuration
-	roster [2]*standin.PlatformDiscovery // discovery on its machine, and where a new configuration moves it
-	asked  int                           // which of the two
-
-	ending sync.Mutex // held while a process is being replaced
-
-	mu       sync.Mutex
-	process  *exec.Cmd
-	injector *faults.Injector
-	lives    []*Life
-	inFront  bool      // clients are sent to it
-	outUntil time.Time // it refused a connection
-	exited   chan error
-	log      logBuffer
-	failed   int // calls that were made to fail, of processes that have ended
-	stopped  bool
+	fleet          *fleet
+	number         int
+	cfg            *configuration
+	discovery      [2]*standin.PlatformDiscovery // discovery on its machine, and where a new configuration moves it
+	discoveryInUse int                           // which of the two
+
+	replacing sync.Mutex // held while a process is being replaced
+
+	mu            sync.Mutex
+	command       *exec.Cmd
+	injector      *faults.Injector
+	processes     []*Process
+	accepting     bool      // clients are sent to it
+	refusingUntil time.Time // it refused a connection
+	exited        chan error
+	log           logBuffer
+	failedCalls   int // calls that were made to fail, of processes that have ended
+	stopped       bool
 }
 
 // logBuffer keeps the end of what processes write to their logs.
@@ -41,12 +41,12 @@
 	text bytes.Buffer
 }
 
-const logMost = 1 << 20
+const maxLogBytes = 1 << 20
 
 func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.text.Len() > logMost {
+	if l.text.Len() > maxLogBytes {
 		l.text.Next(l.text.Len() / 2)
 	}
 	return l.text.Write(b)
@@ -58,68 +58,68 @@
 	return l.text.String()
 }
 
-// trapped are the calls that may be made to fail.
-var trapped = []faults.Call{faults.Accept, faults.Connect, faults.EpollCtl, faults.EpollPwait, faults.Read, faults.Setsockopt,
+// trappedCalls are the calls that may be made to fail.
+var trappedCalls = []faults.Call{faults.Accept, faults.Connect, faults.EpollCtl, faults.EpollPwait, faults.Read, faults.Setsockopt,
 	faults.Socket, faults.Write}
 
 // configure writes the configuration.
-func (n *ingress) configure() error {
-	list := n.roster[n.asked].List()
-	return n.cfg.write(fmt.Sprint("n", n.number), n.roster[n.asked].Addr(), list, n.fleet.settings(n.number), n.fleet.sockets, n.fleet.seed)
+func (ing *ingress) configure() error {
+	list := ing.discovery[ing.discoveryInUse].List()
+	return ing.cfg.write(fmt.Sprint("n", ing.number), ing.discovery[ing.discoveryInUse].Addr(), list, ing.fleet.settings(ing.number), ing.fleet.sockets, ing.fleet.seed)
 }
 
 // start begins a new process and waits until it answers.
-func (n *ingress) start() error {
-	if err := n.configure(); err != nil {
+func (ing *ingress) start() error {
+	if err := ing.configure(); err != nil {
 		return err
 	}
-	cmd := n.fleet.program()
-	cmd.Env = append(cmd.Env, "EDGE_CONFIG="+n.cfg.path(), fmt.Sprint("EDGE_NOFILE=", n.fleet.sockets))
-	cmd.Stderr = &n.log
-	life := &Life{Started: time.Now()}
-	injector, err := faults.Start(cmd, trapped)
+	cmd := ing.fleet.program()
+	cmd.Env = append(cmd.Env, "EDGE_CONFIG="+ing.cfg.path(), fmt.Sprint("EDGE_NOFILE=", ing.fleet.sockets))
+	cmd.Stderr = &ing.log
+	life := &Process{Started: time.Now()}
+	injector, err := faults.Start(cmd, trappedCalls)
 	if err != nil {
-		return fmt.Errorf("soak: ingress %d: %w", n.number, err)
+		return fmt.Errorf("soak: ingress %d: %w", ing.number, err)
 	}
 	exited := make(chan error, 1)
 	go func() {
 		err := cmd.Wait()
 		injector.Wait()
-		n.mu.Lock()
+		ing.mu.Lock()
 		for _, times := range injector.Counts() {
-			n.failed += times
+			ing.failedCalls += times
 		}
-		n.mu.Unlock()
+		ing.mu.Unlock()
 		exited <- err
 	}()
-	n.mu.Lock()
-	n.process, n.injector, n.exited = cmd, injector, exited
-	n.lives = append(n.lives, life)
-	n.mu.Unlock()
-	n.fleet.record.mu.Lock()
-	n.fleet.record.lives[n.number] = append(n.fleet.record.lives[n.number], life)
-	n.fleet.record.mu.Unlock()
-	for !n.answers() {
+	ing.mu.Lock()
+	ing.command, ing.injector, ing.exited = cmd, injector, exited
+	ing.processes = append(ing.processes, life)
+	ing.mu.Unlock()
+	ing.fleet.record.mu.Lock()
+	ing.fleet.record.processes[ing.number] = append(ing.fleet.record.processes[ing.number], life)
+	ing.fleet.record.mu.Unlock()
+	for !ing.answers() {
 		select {
 		case err := <-exited:
 			exited <- err
-			return fmt.Errorf("soak: ingress %d ended before it answered: %w", n.number, err)
+			return fmt.Errorf("soak: ingress %d ended before it answered: %w", ing.number, err)
 		case <-time.After(5 * time.Millisecond):
 		}
-		if time.Since(life.Started) > 3*readyMost {
-			return fmt.Errorf("soak: ingress %d does not answer", n.number)
+		if time.Since(life.Started) > 3*maxStartTime {
+			return fmt.Errorf("soak: ingress %d does not answer", ing.number)
 		}
 	}
-	n.fleet.mark(func() { life.ReadyAfter = time.Since(life.Started) })
-	n.mu.Lock()
-	n.inFront = true
-	n.mu.Unlock()
+	ing.fleet.updateRecord(func() { life.ReadyAfter = time.Since(life.Started) })
+	ing.mu.Lock()
+	ing.accepting = true
+	ing.mu.Unlock()
 	return nil
 }
 
 // answers tells whether PING has its answer.
-func (n *ingress) answers() bool {
-	c, err := net.DialTimeout("tcp", n.cfg.listen, dialTimeout)
+func (ing *ingress) answers() bool {
+	c, err := net.DialTimeout("tcp", ing.cfg.listen, dialTimeout)
 	if err != nil {
 		return false
 	}
@@ -131,96 +131,96 @@
 	return err == nil && string(b[:got]) == "+PONG\r\n"
 }
 
-func (n *ingress) leaveAlone(d time.Duration) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.outUntil = time.Now().Add(d)
+func (ing *ingress) avoidFor(d time.Duration) {
+	ing.mu.Lock()
+	defer ing.mu.Unlock()
+	ing.refusingUntil = time.Now().Add(d)
 }
 
-// life returns the number of the process that is running, from 0.
-func (n *ingress) life() int {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return len(n.lives) - 1
+// processNumber returns the number of the process that is running, from 0.
+func (ing *ingress) processNumber() int {
+	ing.mu.Lock()
+	defer ing.mu.Unlock()
+	return len(ing.processes) - 1
 }
 
-func (n *ingress) signal(s syscall.Signal) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	_ = n.process.Process.Signal(s) // an error means that it has ended
+func (ing *ingress) signal(s syscall.Signal) {
+	ing.mu.Lock()
+	defer ing.mu.Unlock()
+	_ = ing.command.Process.Signal(s) // an error means that it has ended
 }
 
-func (n *ingress) set(f ...faults.Fault) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.injector.Set(f...)
+func (ing *ingress) setFaults(f ...faults.Fault) {
+	ing.mu.Lock()
+	defer ing.mu.Unlock()
+	ing.injector.Set(f...)
 }
 
 // restart tells the process to end, so many times in a row, kills it at the earliest moment, and starts another one. It does
 // nothing where the process is being replaced.
-func (n *ingress) restart(times int) error {
-	if !n.ending.TryLock() {
+func (ing *ingress) restart(times int) error {
+	if !ing.replacing.TryLock() {
 		return nil
 	}
-	defer n.ending.Unlock()
-	life := n.lives[n.life()]
-	n.fleet.mark(func() { life.Terminated = time.Now() })
+	defer ing.replacing.Unlock()
+	life := ing.processes[ing.processNumber()]
+	ing.fleet.updateRecord(func() { life.Terminated = time.Now() })
 	for range times {
-		n.signal(syscall.SIGTERM)
-		time.Sleep(time.Duration(n.fleet.draw(40)) * time.Millisecond)
+		ing.signal(syscall.SIGTERM)
+		time.Sleep(time.Duration(ing.fleet.draw(40)) * time.Millisecond)
 	}
-	kill := time.NewTimer(time.Until(life.Terminated.Add(n.fleet.killAfter())))
+	kill := time.NewTimer(time.Until(life.Terminated.Add(ing.fleet.killAfter())))
 	defer kill.Stop()
 	select {
-	case err := <-n.exited:
-		n.fleet.mark(func() { life.Killed, life.Exited = time.Now(), err })
+	case err := <-ing.exited:
+		ing.fleet.updateRecord(func() { life.Killed, life.Exited = time.Now(), err })
 	case <-kill.C:
-		n.fleet.mark(func() { life.Killed = time.Now() })
-		n.signal(syscall.SIGKILL)
-		<-n.exited
+		ing.fleet.updateRecord(func() { life.Killed = time.Now() })
+		ing.signal(syscall.SIGKILL)
+		<-ing.exited
 	}
-	n.out()
-	return n.start()
+	ing.removeFromFront()
+	return ing.start()
 }
 
 // kill ends the process at once and starts another one. It does nothing where the process is being replaced.
-func (n *ingress) kill() error {
-	if !n.ending.TryLock() {
+func (ing *ingress) kill() error {
+	if !ing.replacing.TryLock() {
 		return nil
 	}
-	defer n.ending.Unlock()
-	life := n.lives[n.life()]
-	n.fleet.mark(func() { life.Killed, life.KilledAtOnce = time.Now(), true })
-	n.signal(syscall.SIGKILL)
-	<-n.exited
-	n.out()
-	return n.start()
+	defer ing.replacing.Unlock()
+	life := ing.processes[ing.processNumber()]
+	ing.fleet.updateRecord(func() { life.Killed, life.KilledAtOnce = time.Now(), true })
+	ing.signal(syscall.SIGKILL)
+	<-ing.exited
+	ing.removeFromFront()
+	return ing.start()
 }
 
-// out takes the ingress from the front.
-func (n *ingress) out() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.inFront = false
+// removeFromFront takes the ingress from the front.
+func (ing *ingress) removeFromFront() {
+	ing.mu.Lock()
+	defer ing.mu.Unlock()
+	ing.accepting = false
 }
 
 // stop ends it for good, at once.
-func (n *ingress) stop() {
-	n.mu.Lock()
-	process, exited, stopped := n.process, n.exited, n.stopped
-	n.stopped = true
-	n.mu.Unlock()
+func (ing *ingress) stop() {
+	ing.mu.Lock()
+	process, exited, stopped := ing.command, ing.exited, ing.stopped
+	ing.stopped = true
+	ing.mu.Unlock()
 	if process != nil && !stopped {
 		select {
 		case err := <-exited:
-			life := n.lives[n.life()]
-			n.fleet.mark(func() { life.Exited = fmt.Errorf("ended by itself: %v", err) })
+			life := ing.processes[ing.processNumber()]
+			ing.fleet.updateRecord(func() { life.Exited = fmt.Errorf("ended by itself: %v", err) })
 		default:
 			_ = process.Process.Kill()
 			<-exited
 		}
 	}
-	for _, r := range n.roster {
+	for _, r := range ing.discovery {
 		if r != nil {
 			r.Close()
 		}
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// End is how a request ended for its client.
-type End int
+// Outcome is how a request ended for its client.
+type Outcome int
 
 // The ends.
 const (
-	Served   End = iota
-	Answered     // with a refusal or a failure
-	Wrong        // with a value that is another request's
-	Left         // the client closed its connection while it waited
-	Ended        // the connection ended with no whole answer
-	Silent       // there was no answer, long after its time
-	Unsent       // the connection ended before the request was written whole
+	Served           Outcome = iota
+	ErrorReply               // with a refusal or a failure
+	WrongValue               // with a value that is another request's
+	Disconnected             // the client closed its connection while it waited
+	ConnectionClosed         // the connection ended with no whole answer
+	TimedOut                 // there was no answer, long after its time
+	Unsent                   // the connection ended before the request was written whole
 )
 
 // Request is one request as its client saw it.
@@ -28,34 +28,34 @@
 	ID       string
 	Class    Class
 	Ingress  int
-	Life     int  // of the ingress: which of its processes the connection was to
+	Process  int  // of the ingress: which of its processes the connection was to
 	First    bool // on its connection
 	Sent     time.Time
 	Deadline time.Time
-	End      End
+	Outcome  Outcome
 	EndedAt  time.Time
 	Text     string // of an answer that is no value, or what ended the connection
 }
 
 // Arrival is a command that reached a server whole.
 type Arrival struct {
-	ID      string
-	Class   string
-	Ingress int // whose address of the server it came to
-	Server  string
-	At      time.Time
-	WithinS float64 // as the command says
-	Turned  bool    // away unseen: it has not run
+	ID       string
+	Class    string
+	Ingress  int // whose address of the server it came to
+	Server   string
+	At       time.Time
+	WithinS  float64 // as the command says
+	Rejected bool    // away unseen: it has not run
 }
 
 // Drain is a server that takes nothing new, as each ingress was told.
 type Drain struct {
-	Server string
-	Told   []time.Time // by ingress; zero: never
+	Server     string
+	NotifiedAt []time.Time // by ingress; zero: never
 }
 
-// Life is one process of an ingress.
-type Life struct {
+// Process is one process of an ingress.
+type Process struct {
 	Started, Terminated, Killed time.Time // zero: it was not
 	KilledAtOnce                bool      // with no SIGTERM before
 	Exited                      error     // how it ended by itself, nil: well or not at all
@@ -69,16 +69,16 @@
 
 // Record is what a run showed. Its methods are safe for concurrent use.
 type Record struct {
-	Crowd bool // idle clients filled the descriptors: new connections may be shut unread
-
-	mu       sync.Mutex
-	requests []Request
-	arrivals []Arrival
-	drains   []Drain
-	lives    [][]*Life // by ingress
-	blurred  []Span    // this process, or an ingress, stood still: times are not judged there
-	events   []string
-	start    time.Time
+	IdleClients bool // idle clients filled the descriptors: new connections may be shut unread
+
+	mu        sync.Mutex
+	requests  []Request
+	arrivals  []Arrival
+	drains    []Drain
+	processes [][]*Process // by ingress
+	pauses    []Span       // this process, or an ingress, stood still: times are not judged there
+	events    []string
+	start     time.Time
 }
 
 func (r *Record) note(format string, args ...any) {
@@ -87,24 +87,24 @@
 	r.events = append(r.events, fmt.Sprintf("%7.3f ", time.Since(r.start).Seconds())+fmt.Sprintf(format, args...))
 }
 
-func (r *Record) blur(s Span) {
+func (r *Record) addPause(s Span) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.blurred = append(r.blurred, s)
+	r.pauses = append(r.pauses, s)
 }
 
-func (r *Record) clear(from, to time.Time) bool {
-	return !slices.ContainsFunc(r.blurred, func(s Span) bool { return s.overlaps(from, to) })
+func (r *Record) unpaused(from, to time.Time) bool {
+	return !slices.ContainsFunc(r.pauses, func(s Span) bool { return s.overlaps(from, to) })
 }
 
 // Limits of the platform's page, every time limit being longer by its slack.
 const (
-	slack         = 50 * time.Millisecond
-	stopSending   = 2 * time.Second        // after a drain was told
-	afterLeaving  = 100 * time.Millisecond // a client that has closed its connection has gone
-	deadlineSlack = 150 * time.Millisecond // of the time that an attempt tells its server
-	lateMost      = 500 * time.Millisecond // an answer may be late by so much and only earns nothing
-	readyMost     = 10 * time.Second
+	tolerance              = 50 * time.Millisecond
+	maxSendAfterDrain      = 2 * time.Second        // after a drain was told
+	maxSendAfterDisconnect = 100 * time.Millisecond // a client that has closed its connection has gone
+	deadlineTolerance      = 150 * time.Millisecond // of the time that an attempt tells its server
+	maxLateness            = 500 * time.Millisecond // an answer may be late by so much and only earns nothing
+	maxStartTime           = 10 * time.Second
 )
 
 // Violation is one broken rule.
@@ -124,47 +124,47 @@
 	for i := range r.requests {
 		q := &r.requests[i]
 		sent++
-		if q.End == Served {
+		if q.Outcome == Served {
 			served++
 		}
 		r.judgeRequest(q, byID[q.ID], broke)
 	}
 	r.judgeDrains(broke)
-	r.judgeLives(broke)
+	r.judgeProcesses(broke)
 	return breaks, sent, served
 }
 
-func (r *Record) at(t time.Time) float64 { return t.Sub(r.start).Seconds() }
+func (r *Record) seconds(t time.Time) float64 { return t.Sub(r.start).Seconds() }
 
 func (r *Record) judgeRequest(q *Request, list []Arrival, broke func(rule, format string, args ...any)) {
-	name := fmt.Sprintf("request %s (%s) to n%d at %.3f", q.ID, q.Class.Name, q.Ingress, r.at(q.Sent))
-	life := r.lives[q.Ingress][q.Life]
-	ran := slices.ContainsFunc(list, func(a Arrival) bool { return !a.Turned })
+	name := fmt.Sprintf("request %s (%s) to n%d at %.3f", q.ID, q.Class.Name, q.Ingress, r.seconds(q.Sent))
+	life := r.processes[q.Ingress][q.Process]
+	ran := slices.ContainsFunc(list, func(a Arrival) bool { return !a.Rejected })
 	leaving := !life.Terminated.IsZero() && q.EndedAt.After(life.Terminated)
 	killed := life.KilledAtOnce && !q.EndedAt.Before(life.Killed)
-	switch q.End {
-	case Wrong:
+	switch q.Outcome {
+	case WrongValue:
 		broke("lost", "%s was served with %q", name, q.Text)
-	case Silent:
-		broke("lost", "%s had no answer by %.3f, its time was over at %.3f", name, r.at(q.EndedAt), r.at(q.Deadline))
-	case Ended:
+	case TimedOut:
+		broke("lost", "%s had no answer by %.3f, its time was over at %.3f", name, r.seconds(q.EndedAt), r.seconds(q.Deadline))
+	case ConnectionClosed:
 		switch {
 		case killed:
 		case len(list) > 0:
-			broke("lost", "%s was sent on to a server, then its connection ended at %.3f: %s", name, r.at(q.EndedAt), q.Text)
-		case leaving, r.Crowd && q.First: // unread: its client asks elsewhere
+			broke("lost", "%s was sent on to a server, then its connection ended at %.3f: %s", name, r.seconds(q.EndedAt), q.Text)
+		case leaving, r.IdleClients && q.First: // unread: its client asks elsewhere
 		default:
-			broke("lost", "%s: its connection ended at %.3f: %s", name, r.at(q.EndedAt), q.Text)
+			broke("lost", "%s: its connection ended at %.3f: %s", name, r.seconds(q.EndedAt), q.Text)
 		}
-	case Served, Answered:
-		if late := q.EndedAt.Sub(q.Deadline); late > lateMost+slack && r.clear(q.Deadline, q.EndedAt) {
+	case Served, ErrorReply:
+		if late := q.EndedAt.Sub(q.Deadline); late > maxLateness+tolerance && r.unpaused(q.Deadline, q.EndedAt) {
 			broke("lost", "%s was answered %.3f s after its time", name, late.Seconds())
 		}
 	}
 	if q.Class.Unsafe {
 		n := 0
 		for _, a := range list {
-			if !a.Turned {
+			if !a.Rejected {
 				n++
 			}
 		}
@@ -173,14 +173,14 @@
 		}
 	}
 	for _, a := range list {
-		if q.End == Left && a.At.Sub(q.EndedAt) > afterLeaving+slack && r.clear(q.EndedAt, a.At) {
+		if q.Outcome == Disconnected && a.At.Sub(q.EndedAt) > maxSendAfterDisconnect+tolerance && r.unpaused(q.EndedAt, a.At) {
 			broke("lost", "%s was sent on %.3f s after its client had left", name, a.At.Sub(q.EndedAt).Seconds())
 		}
-		if left := q.Deadline.Sub(a.At); a.WithinS > (left+deadlineSlack+slack).Seconds() && r.clear(q.Sent, a.At) {
+		if left := q.Deadline.Sub(a.At); a.WithinS > (left+deadlineTolerance+tolerance).Seconds() && r.unpaused(q.Sent, a.At) {
 			broke("deadline", "%s told %s %.3f s when its client had %.3f s left", name, a.Server, a.WithinS, left.Seconds())
 		}
 	}
-	if q.End == Answered && ran && q.Class.Unsafe && len(q.Text) > 5 && q.Text[:5] == "-BUSY" {
+	if q.Outcome == ErrorReply && ran && q.Class.Unsafe && len(q.Text) > 5 && q.Text[:5] == "-BUSY" {
 		broke("lost", "%s was refused with a promise of no effect, and had run", name)
 	}
 }
@@ -188,23 +188,23 @@
 func (r *Record) judgeDrains(broke func(rule, format string, args ...any)) {
 	for _, d := range r.drains {
 		for _, a := range r.arrivals {
-			if a.Server != d.Server || d.Told[a.Ingress].IsZero() {
+			if a.Server != d.Server || d.NotifiedAt[a.Ingress].IsZero() {
 				continue
 			}
-			if late := a.At.Sub(d.Told[a.Ingress]); late > stopSending+slack && r.clear(d.Told[a.Ingress].Add(stopSending), a.At) {
+			if late := a.At.Sub(d.NotifiedAt[a.Ingress]); late > maxSendAfterDrain+tolerance && r.unpaused(d.NotifiedAt[a.Ingress].Add(maxSendAfterDrain), a.At) {
 				broke("drain", "request %s was sent by n%d to %s %.3f s after its drain was told", a.ID, a.Ingress, a.Server, late.Seconds())
 			}
 		}
 	}
 }
 
-func (r *Record) judgeLives(broke func(rule, format string, args ...any)) {
-	for n, lives := range r.lives {
+func (r *Record) judgeProcesses(broke func(rule, format string, args ...any)) {
+	for n, lives := range r.processes {
 		for i, l := range lives {
 			if l.Exited != nil {
 				broke("crash", "n%d, process %d: %v", n, i+1, l.Exited)
 			}
-			if l.ReadyAfter > readyMost {
+			if l.ReadyAfter > maxStartTime {
 				broke("ready", "n%d, process %d: ready after %v", n, i+1, l.ReadyAfter)
 			}
 		}
--- a/internal/soak/trouble.go
+++ b/internal/soak/trouble.go
@@ -13,41 +13,41 @@
 	"cometpond/internal/standin"
 )
 
-// trouble is one kind of event. It returns once it is over, or has begun what goes on by itself.
-type trouble struct {
+// scenario is one kind of event. It returns once it is over, or has begun what goes on by itself.
+type scenario struct {
 	name   string
 	weight int
 	play   func(f *fleet) error
 }
 
 // The troubles, and how often each comes beside the others.
-func table() []trouble {
-	return []trouble{
+func scenarios() []scenario {
+	return []scenario{
 		{"failing calls", 10, (*fleet).failingCalls},
 		{"broken connections", 3, (*fleet).brokenConnections},
 		{"SIGTERM", 3, (*fleet).terminate},
 		{"SIGKILL", 1, (*fleet).killAtOnce},
-		{"SIGHUP", 3, (*fleet).move},
-		{"SIGSTOP", 2, (*fleet).standStill},
+		{"SIGHUP", 3, (*fleet).switchDiscovery},
+		{"SIGSTOP", 2, (*fleet).pauseIngress},
 		{"drain", 3, (*fleet).drain},
-		{"new server", 1, (*fleet).addAndTell},
-		{"server in trouble", 5, (*fleet).serverInTrouble},
+		{"new server", 1, (*fleet).addAndPublish},
+		{"server in trouble", 5, (*fleet).degradeServer},
 		{"discovery down", 2, (*fleet).discoveryDown},
 	}
 }
 
 // Times between two troubles, and of one.
 const (
-	calm        = 250 * time.Millisecond
-	troubleMost = 1500 // milliseconds
+	scenarioInterval = 250 * time.Millisecond
+	maxFaultMS       = 1500 // milliseconds
 )
 
-// mostSeries is how many series of troubles run beside each other, by the seed.
-const mostSeries = 3
+// maxSeries is how many series of troubles run beside each other, by the seed.
+const maxSeries = 3
 
-// troubles plays series of them beside each other until the end. The last ones have time to pass.
-func (f *fleet) troubles() error {
-	errs := make([]error, 1+f.seed%mostSeries)
+// playFaults plays series of them beside each other until the end. The last ones have time to pass.
+func (f *fleet) playFaults() error {
+	errs := make([]error, 1+f.seed%maxSeries)
 	var work sync.WaitGroup
 	for i := range errs {
 		work.Add(1)
@@ -62,7 +62,7 @@
 
 // series plays one trouble after the other.
 func (f *fleet) series() error {
-	list := table()
+	list := scenarios()
 	sum := 0
 	for _, t := range list {
 		sum += t.weight
@@ -77,21 +77,21 @@
 				break
 			}
 		}
-		time.Sleep(calm)
+		time.Sleep(scenarioInterval)
 	}
 	return nil
 }
 
-// any draws an ingress.
-func (f *fleet) any() *ingress { return f.members[f.draw(len(f.members))] }
+// anyIngress draws an ingress.
+func (f *fleet) anyIngress() *ingress { return f.ingressList[f.draw(len(f.ingressList))] }
 
-// span draws how long something lasts.
-func (f *fleet) span(least, most time.Duration) time.Duration {
+// drawDuration draws how long something lasts.
+func (f *fleet) drawDuration(least, most time.Duration) time.Duration {
 	return least + time.Duration(f.draw(int((most-least)/time.Millisecond)+1))*time.Millisecond
 }
 
-// moments are faults that last for a moment each.
-func moments() []faults.Fault {
+// momentaryFaults are faults that last for a moment each.
+func momentaryFaults() []faults.Fault {
 	return []faults.Fault{
 		{Call: faults.Accept, Errno: unix.ENFILE, Probability: 1}, {Call: faults.Accept, Errno: unix.ECONNABORTED, Probability: 0.5},
 		{Call: faults.Accept, Errno: unix.ENOBUFS, Probability: 0.5}, {Call: faults.Accept, Errno: unix.EPROTO, Probability: 0.3},
@@ -108,48 +108,48 @@
 
 // failingCalls has up to three kinds of calls fail at one or at all ingresses.
 func (f *fleet) failingCalls() error {
-	all := moments()
+	all := momentaryFaults()
 	var list []faults.Fault
 	for range 1 + f.draw(3) {
 		list = append(list, all[f.draw(len(all))])
 	}
-	members := f.members
+	members := f.ingressList
 	if f.draw(2) == 0 {
-		members = []*ingress{f.any()}
+		members = []*ingress{f.anyIngress()}
 	}
-	d := f.span(50*time.Millisecond, 400*time.Millisecond)
+	d := f.drawDuration(50*time.Millisecond, 400*time.Millisecond)
 	for _, x := range list {
 		f.record.note("%d ingresses: %s %q fails by %v, short %d, for %v", len(members), x.Call, x.Target, x.Errno, x.MaxBytes, d)
 	}
 	for _, n := range members {
-		n.set(list...)
+		n.setFaults(list...)
 	}
 	time.Sleep(d)
 	for _, n := range members {
-		n.set()
+		n.setFaults()
 	}
 	return nil
 }
 
 // brokenConnections has connections to one server break, as a network that fails shows it.
 func (f *fleet) brokenConnections() error {
-	n := f.any()
+	n := f.anyIngress()
 	s := f.anyServer()
 	errno := []unix.Errno{unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNRESET}[f.draw(3)]
 	call := []faults.Call{faults.Read, faults.Write}[f.draw(2)]
-	d := f.span(50*time.Millisecond, 300*time.Millisecond)
+	d := f.drawDuration(50*time.Millisecond, 300*time.Millisecond)
 	f.record.note("n%d: connections to %s break by %v for %v", n.number, s.name, errno, d)
-	n.set(faults.Fault{Call: call, Target: faults.Sockets, Port: portOf(s.at[n.number].Addr()), Errno: errno, BreakConnection: true, Probability: 0.3})
+	n.setFaults(faults.Fault{Call: call, Target: faults.Sockets, Port: portOf(s.backends[n.number].Addr()), Errno: errno, BreakConnection: true, Probability: 0.3})
 	time.Sleep(d)
-	n.set()
+	n.setFaults()
 	return nil
 }
 
 // terminate restarts an ingress as planned, sometimes with a new configuration at the same moment.
 func (f *fleet) terminate() error {
-	n, times := f.any(), 1+f.draw(3)
+	n, times := f.anyIngress(), 1+f.draw(3)
 	if f.draw(2) == 0 {
-		if err := f.hup(n, 1+f.draw(2)); err != nil {
+		if err := f.reloadConfiguration(n, 1+f.draw(2)); err != nil {
 			return err
 		}
 	}
@@ -160,22 +160,22 @@
 }
 
 func (f *fleet) killAtOnce() error {
-	n := f.any()
+	n := f.anyIngress()
 	f.record.note("n%d: SIGKILL", n.number)
 	return n.kill()
 }
 
-func (f *fleet) move() error { return f.hup(f.any(), 1+f.draw(3)) }
+func (f *fleet) switchDiscovery() error { return f.reloadConfiguration(f.anyIngress(), 1+f.draw(3)) }
 
-// hup moves an ingress to its other discovery, with so many signals in a row.
-func (f *fleet) hup(n *ingress, times int) error {
+// reloadConfiguration moves an ingress to its other discovery, with so many signals in a row.
+func (f *fleet) reloadConfiguration(n *ingress, times int) error {
 	f.mu.Lock()
-	n.asked = 1 - n.asked
+	n.discoveryInUse = 1 - n.discoveryInUse
 	f.mu.Unlock()
 	if err := n.configure(); err != nil {
 		return err
 	}
-	f.record.note("n%d: SIGHUP %d times, discovery %d", n.number, times, n.asked)
+	f.record.note("n%d: SIGHUP %d times, discovery %d", n.number, times, n.discoveryInUse)
 	for range times {
 		n.signal(syscall.SIGHUP)
 		time.Sleep(time.Duration(f.draw(30)) * time.Millisecond)
@@ -183,45 +183,45 @@
 	return nil
 }
 
-// stopMost is how long an ingress may be held up and has to keep all rules but those on time.
-const stopMost = 150 * time.Millisecond
+// maxPause is how long an ingress may be held up and has to keep all rules but those on time.
+const maxPause = 150 * time.Millisecond
 
-func (f *fleet) standStill() error {
-	n := f.any()
-	d := f.span(20*time.Millisecond, stopMost)
+func (f *fleet) pauseIngress() error {
+	n := f.anyIngress()
+	d := f.drawDuration(20*time.Millisecond, maxPause)
 	from := time.Now()
 	f.record.note("n%d: SIGSTOP for %v", n.number, d)
 	n.signal(syscall.SIGSTOP)
 	time.Sleep(d)
 	n.signal(syscall.SIGCONT)
-	f.record.blur(Span{from, time.Now().Add(stopMost)})
+	f.record.addPause(Span{from, time.Now().Add(maxPause)})
 	return nil
 }
 
-// serverInTrouble has a server behave badly for a while.
-func (f *fleet) serverInTrouble() error {
+// degradeServer has a server behave badly for a while.
+func (f *fleet) degradeServer() error {
 	s := f.anyServer()
-	m := []mood{hangs, resets, busy, slow}[f.draw(4)]
-	d := f.span(200*time.Millisecond, troubleMost*time.Millisecond)
+	m := []behavior{unresponsive, closing, busy, slow}[f.draw(4)]
+	d := f.drawDuration(200*time.Millisecond, maxFaultMS*time.Millisecond)
 	f.record.note("%s: mood %d for %v", s.name, m, d)
-	s.set(m)
-	f.work.Add(1)
+	s.setBehavior(m)
+	f.background.Add(1)
 	go func() {
-		defer f.work.Done()
+		defer f.background.Done()
 		time.Sleep(d)
-		s.set(well)
+		s.setBehavior(healthy)
 	}()
 	return nil
 }
 
 // discoveryDown has discovery of one ingress refuse, or say nothing.
 func (f *fleet) discoveryDown() error {
-	n := f.any()
-	d := f.span(300*time.Millisecond, troubleMost*time.Millisecond)
+	n := f.anyIngress()
+	d := f.drawDuration(300*time.Millisecond, maxFaultMS*time.Millisecond)
 	silent := f.draw(2) == 0
 	f.record.note("n%d: discovery down for %v, silent %v", n.number, d, silent)
 	until := time.Now().Add(d)
-	for _, r := range n.roster {
+	for _, r := range n.discovery {
 		r.Intercept(func(w http.ResponseWriter, q *http.Request) bool {
 			if time.Now().After(until) {
 				return false
@@ -246,7 +246,7 @@
 		list = append(list, s.host(n, "SERVING"))
 	}
 	for _, d := range f.drains {
-		for _, s := range f.gone {
+		for _, s := range f.delisted {
 			if s.name == d.server && time.Since(d.at) < listedAsDraining {
 				list = append(list, s.host(n, "DRAINING"))
 			}
@@ -268,8 +268,8 @@
 func (f *fleet) addServer() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.named++
-	s, err := newServer(serverName(f.named), f.ingresses, f.seed+uint64(f.named), f.record)
+	f.serverCount++
+	s, err := newServer(serverName(f.serverCount), f.ingresses, f.seed+uint64(f.serverCount), f.record)
 	if err != nil {
 		return err
 	}
@@ -277,12 +277,12 @@
 	return nil
 }
 
-func (f *fleet) addAndTell() error {
+func (f *fleet) addAndPublish() error {
 	if err := f.addServer(); err != nil {
 		return err
 	}
-	f.record.note("%s: new", serverName(f.named))
-	f.tell("")
+	f.record.note("%s: new", serverName(f.serverCount))
+	f.publishList("")
 	return nil
 }
 
@@ -295,24 +295,24 @@
 	k := f.rng.IntN(len(f.servers) - 1)
 	s := f.servers[k]
 	f.servers = append(f.servers[:k:k], f.servers[k+1:]...)
-	f.gone = append(f.gone, s)
+	f.delisted = append(f.delisted, s)
 	f.mu.Unlock()
 	f.record.note("%s: drains", s.name)
-	f.tell(s.name)
+	f.publishList(s.name)
 	return nil
 }
 
-// tell gives every discovery the list, in which a server drains, "" for none.
-func (f *fleet) tell(drains string) {
+// publishList gives every discovery the list, in which a server drains, "" for none.
+func (f *fleet) publishList(drains string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	d := pendingDrain{server: drains, at: time.Now()}
 	if drains != "" {
 		f.drains = append(f.drains, d)
 	}
-	for i, n := range f.members {
+	for i, n := range f.ingressList {
 		var versions [2]uint64
-		for k, r := range n.roster {
+		for k, r := range n.discovery {
 			versions[k] = r.SetHosts(f.hosts(i)...)
 		}
 		d.versions = append(d.versions, versions)
@@ -325,14 +325,14 @@
 // resolveDrains finds when each ingress was first told of each drain.
 func (f *fleet) resolveDrains() {
 	for _, d := range f.drains {
-		told := make([]time.Time, len(f.members))
-		for i, n := range f.members {
-			for k, r := range n.roster {
+		told := make([]time.Time, len(f.ingressList))
+		for i, n := range f.ingressList {
+			for k, r := range n.discovery {
 				if at, was := r.FirstServedAt(d.versions[i][k]); was && (told[i].IsZero() || at.Before(told[i])) {
 					told[i] = at
 				}
 			}
 		}
-		f.record.drains = append(f.record.drains, Drain{Server: d.server, Told: told})
+		f.record.drains = append(f.record.drains, Drain{Server: d.server, NotifiedAt: told})
 	}
 }
--- a/internal/standin/box.go
+++ b/internal/standin/box.go
@@ -35,18 +35,18 @@
 
 // SubmissionKeys is the submission keys that the boxes of one room have seen.
 type SubmissionKeys struct {
-	mu   sync.Mutex
-	seen map[string]remembered
+	mu      sync.Mutex
+	records map[string]keyRecord
 }
 
-type remembered struct {
+type keyRecord struct {
 	at     time.Time
 	doneAt time.Time
 	reply  string
 }
 
 // NewSubmissionKeys returns an empty memory.
-func NewSubmissionKeys() *SubmissionKeys { return &SubmissionKeys{seen: map[string]remembered{}} }
+func NewSubmissionKeys() *SubmissionKeys { return &SubmissionKeys{records: map[string]keyRecord{}} }
 
 // ServerOptions describe a Box.
 type ServerOptions struct {
@@ -62,20 +62,20 @@
 
 // Server is a stand-in of a queue box on a TCP address.
 type Server struct {
-	addr string
-	name string
-	opt  ServerOptions
-	rng  *rand.Rand
+	addr    string
+	name    string
+	options ServerOptions
+	rng     *rand.Rand
 
-	mu     sync.Mutex // covers all below, and the order of Saw
-	model  *Model
-	ln     net.Listener
-	conns  map[net.Conn]struct{}
-	silent bool
-	mute   string // a command that stays unanswered
-	jobs   uint64
-	base   time.Time
-	work   sync.WaitGroup
+	mu           sync.Mutex // covers all below, and the order of Saw
+	model        *Model
+	listener     net.Listener
+	conns        map[net.Conn]struct{}
+	silent       bool
+	mutedCommand string // a command that stays unanswered
+	jobCount     uint64
+	startedAt    time.Time
+	goroutines   sync.WaitGroup
 }
 
 // NewServer listens on an address; port 0 takes a free one.
@@ -83,8 +83,8 @@
 	if opt.Keys == nil {
 		opt.Keys = NewSubmissionKeys()
 	}
-	b := &Server{addr: addr, opt: opt, rng: rand.New(rand.NewPCG(opt.Seed, 1)), model: NewModel(opt.Params),
-		conns: map[net.Conn]struct{}{}, base: time.Now()}
+	b := &Server{addr: addr, options: opt, rng: rand.New(rand.NewPCG(opt.Seed, 1)), model: NewModel(opt.Params),
+		conns: map[net.Conn]struct{}{}, startedAt: time.Now()}
 	if err := b.listen(); err != nil {
 		return nil, err
 	}
@@ -94,65 +94,65 @@
 	return b, nil
 }
 
-func (b *Server) listen() error {
-	ln, err := net.Listen("tcp", b.addr)
+func (srv *Server) listen() error {
+	ln, err := net.Listen("tcp", srv.addr)
 	if err != nil {
 		return fmt.Errorf("box: %w", err)
 	}
-	b.ln, b.addr = ln, ln.Addr().String()
-	b.work.Add(1)
-	go b.accept(ln)
+	srv.listener, srv.addr = ln, ln.Addr().String()
+	srv.goroutines.Add(1)
+	go srv.accept(ln)
 	return nil
 }
 
 // Addr is the address that the box listens on.
-func (b *Server) Addr() string { return b.addr }
+func (srv *Server) Addr() string { return srv.addr }
 
-func (b *Server) now() float64 { return time.Since(b.base).Seconds() + 1 }
+func (srv *Server) now() float64 { return time.Since(srv.startedAt).Seconds() + 1 }
 
-func (b *Server) accept(ln net.Listener) {
-	defer b.work.Done()
+func (srv *Server) accept(ln net.Listener) {
+	defer srv.goroutines.Done()
 	for {
 		c, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		b.mu.Lock()
-		if b.ln != ln { // taken down meanwhile
-			b.mu.Unlock()
-			reset(c)
+		srv.mu.Lock()
+		if srv.listener != ln { // taken down meanwhile
+			srv.mu.Unlock()
+			closeWithReset(c)
 			continue
 		}
-		b.conns[c] = struct{}{}
-		b.work.Add(2)
-		b.mu.Unlock()
+		srv.conns[c] = struct{}{}
+		srv.goroutines.Add(2)
+		srv.mu.Unlock()
 		replies := make(chan reply, 1024)
-		go b.read(c, replies)
-		go b.write(c, replies)
+		go srv.read(c, replies)
+		go srv.write(c, replies)
 	}
 }
 
 // reply is written at its time, or never while the box is silent.
 type reply struct {
-	at   time.Time
-	text []byte
-	mute bool
+	sendAt  time.Time
+	text    []byte
+	discard bool
 }
 
-func reset(c net.Conn) {
+func closeWithReset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
 	c.Close()
 }
 
-func (b *Server) read(c net.Conn, replies chan<- reply) {
-	defer b.work.Done()
+func (srv *Server) read(c net.Conn, replies chan<- reply) {
+	defer srv.goroutines.Done()
 	defer close(replies)
 	defer func() {
-		b.mu.Lock()
-		delete(b.conns, c)
-		b.mu.Unlock()
+		srv.mu.Lock()
+		delete(srv.conns, c)
+		srv.mu.Unlock()
 		c.Close()
 	}()
 	var buf []byte
@@ -193,27 +193,27 @@
 		case words[0] == "PING":
 			r.text = []byte("+PONG\r\n")
 		case words[0] == "INFO":
-			r.text = resp.AppendBulk(nil, b.info())
+			r.text = resp.AppendBulk(nil, srv.info())
 		default:
-			r = b.job(name, words)
-			if version == 3 && b.opt.Load == "answer" {
-				r.text = append(resp.AppendBulk(resp.AppendBulk([]byte("|1\r\n"), "util"), b.util()), r.text...)
+			r = srv.job(name, words)
+			if version == 3 && srv.options.Load == "answer" {
+				r.text = append(resp.AppendBulk(resp.AppendBulk([]byte("|1\r\n"), "util"), srv.util()), r.text...)
 			}
 		}
 		replies <- r
 	}
 }
 
-func (b *Server) write(c net.Conn, replies <-chan reply) {
-	defer b.work.Done()
+func (srv *Server) write(c net.Conn, replies <-chan reply) {
+	defer srv.goroutines.Done()
 	for r := range replies {
-		if d := time.Until(r.at); d > 0 {
+		if d := time.Until(r.sendAt); d > 0 {
 			time.Sleep(d)
 		}
-		b.mu.Lock()
-		silent := b.silent
-		b.mu.Unlock()
-		if silent || r.mute {
+		srv.mu.Lock()
+		silent := srv.silent
+		srv.mu.Unlock()
+		if silent || r.discard {
 			continue
 		}
 		if _, err := c.Write(r.text); err != nil && !errors.Is(err, io.EOF) {
@@ -223,49 +223,49 @@
 }
 
 // job runs a command.
-func (b *Server) job(instance string, words []string) reply {
-	j, known := b.opt.Jobs[words[0]]
+func (srv *Server) job(instance string, words []string) reply {
+	j, known := srv.options.Jobs[words[0]]
 	if !known || j.KeyAt >= len(words) {
 		return reply{text: resp.AppendError(nil, "ERR unknown command '"+words[0]+"'")}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
 	at := time.Now()
-	a := Arrival{At: at, Server: b.name, Instance: instance, Words: words}
-	r := b.run(at, j, words, &a)
-	r.mute = words[0] == b.mute
-	if b.opt.OnArrival != nil {
-		b.opt.OnArrival(a)
+	a := Arrival{At: at, Server: srv.name, Instance: instance, Words: words}
+	r := srv.run(at, j, words, &a)
+	r.discard = words[0] == srv.mutedCommand
+	if srv.options.OnArrival != nil {
+		srv.options.OnArrival(a)
 	}
 	return r
 }
 
-func (b *Server) run(at time.Time, j Job, words []string, a *Arrival) reply {
-	mem := b.opt.Keys
+func (srv *Server) run(at time.Time, j Job, words []string, a *Arrival) reply {
+	mem := srv.options.Keys
 	key := ""
 	if j.KeyAt > 0 {
 		key = words[j.KeyAt]
 		mem.mu.Lock()
 		defer mem.mu.Unlock()
-		if seen, ok := mem.seen[key]; ok && at.Sub(seen.at).Seconds() <= j.KeyTTLS {
-			return reply{at: seen.doneAt, text: []byte(seen.reply)}
+		if seen, ok := mem.records[key]; ok && at.Sub(seen.at).Seconds() <= j.KeyTTLS {
+			return reply{sendAt: seen.doneAt, text: []byte(seen.reply)}
 		}
 	}
-	work := j.Work * math.Max(0.2, b.rng.ExpFloat64()*0.5+0.5)
-	if b.jobs++; b.opt.WorkFactor != nil {
-		work *= b.opt.WorkFactor(b.jobs)
+	work := j.Work * math.Max(0.2, srv.rng.ExpFloat64()*0.5+0.5)
+	if srv.jobCount++; srv.options.WorkFactor != nil {
+		work *= srv.options.WorkFactor(srv.jobCount)
 	}
-	done, ruling := b.model.Offer(b.now(), work)
+	done, ruling := srv.model.Offer(srv.now(), work)
 	a.Outcome = ruling
 	switch ruling {
 	case QueueFull:
 		return reply{text: resp.AppendError(nil, "BUSY the queue is full")}
 	case Crashed:
-		b.silent = true
+		srv.silent = true
 		return reply{}
 	}
 	a.Executed = true
-	doneAt := b.base.Add(time.Duration((done - 1) * 1e9))
+	doneAt := srv.startedAt.Add(time.Duration((done - 1) * 1e9))
 	text := strings.Join([]string{words[0], "done", words[min(1, len(words)-1)]}, " ")
 	if j.Echo > 0 && j.Echo < len(words) {
 		text = string(resp.AppendBulk(nil, text+" "+words[j.Echo]))
@@ -273,74 +273,74 @@
 		text = string(resp.AppendSimple(nil, text))
 	}
 	if key != "" {
-		mem.seen[key] = remembered{at, doneAt, text}
+		mem.records[key] = keyRecord{at, doneAt, text}
 	}
-	return reply{at: doneAt, text: []byte(text)}
+	return reply{sendAt: doneAt, text: []byte(text)}
 }
 
-func (b *Server) util() string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return fmt.Sprintf("%.3f", b.model.Util(b.now()))
+func (srv *Server) util() string {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	return fmt.Sprintf("%.3f", srv.model.Util(srv.now()))
 }
 
-func (b *Server) info() string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.now()
-	return fmt.Sprintf("# Load\r\nutil:%.3f\r\nqueue:%d\r\n", b.model.Util(now), b.model.Waiting(now))
+func (srv *Server) info() string {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	now := srv.now()
+	return fmt.Sprintf("# Load\r\nutil:%.3f\r\nqueue:%d\r\n", srv.model.Util(now), srv.model.Waiting(now))
 }
 
 // Silent has the box read and run, but answer nothing, or answer again.
-func (b *Server) Silent(on bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.silent = on
+func (srv *Server) Silent(on bool) {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	srv.silent = on
 }
 
 // Mute leaves one command unanswered, and those behind it on its connection; "" for none.
-func (b *Server) Mute(command string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.mute = command
+func (srv *Server) Mute(command string) {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	srv.mutedCommand = command
 }
 
 // Slow makes all work take so many times as long.
-func (b *Server) Slow(factor float64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.model.Slow(factor)
+func (srv *Server) Slow(factor float64) {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	srv.model.Slow(factor)
 }
 
 // Down takes the box from the network: connections break and none is taken.
-func (b *Server) Down() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.ln != nil {
-		b.ln.Close()
-		b.ln = nil
+func (srv *Server) Down() {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	if srv.listener != nil {
+		srv.listener.Close()
+		srv.listener = nil
 	}
-	for c := range b.conns {
-		reset(c)
+	for c := range srv.conns {
+		closeWithReset(c)
 	}
 }
 
 // Up brings the box back, restarted and cold.
-func (b *Server) Up() error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.model.Restart(b.now())
-	b.silent = false
-	if b.ln != nil {
+func (srv *Server) Up() error {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	srv.model.Restart(srv.now())
+	srv.silent = false
+	if srv.listener != nil {
 		return nil
 	}
-	return b.listen()
+	return srv.listen()
 }
 
 // Close takes the box down and waits for its goroutines.
-func (b *Server) Close() {
-	b.Down()
-	b.work.Wait()
+func (srv *Server) Close() {
+	srv.Down()
+	srv.goroutines.Wait()
 }
 
 // Jobs are the commands of a settings file, each with a mean work of this share of its class's aim.
--- a/internal/standin/eds.go
+++ b/internal/standin/eds.go
@@ -31,12 +31,12 @@
 	addr    string
 	server  *grpc.Server
 
-	mu      sync.Mutex
-	version int
-	lists   map[int][]policy.Server // by version
-	pushed  []time.Time             // when each version came, from 1 on
-	told    []Acknowledgement
-	changed chan struct{} // closed when there is a new version
+	mu               sync.Mutex
+	version          int
+	lists            map[int][]policy.Server // by version
+	pushedAt         []time.Time             // when each version came, from 1 on
+	acknowledgements []Acknowledgement
+	changed          chan struct{} // closed when there is a new version
 }
 
 // NewEDS serves a cluster's list on an address; port 0 takes a free one.
@@ -54,41 +54,41 @@
 }
 
 // Addr is the address that the server listens on.
-func (e *EDS) Addr() string { return e.addr }
+func (eds *EDS) Addr() string { return eds.addr }
 
 // Set pushes a list to all instances.
-func (e *EDS) Set(list []policy.Server) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.version++
-	e.pushed = append(e.pushed, time.Now())
-	e.lists[e.version] = append([]policy.Server(nil), list...)
-	close(e.changed)
-	e.changed = make(chan struct{})
+func (eds *EDS) Set(list []policy.Server) {
+	eds.mu.Lock()
+	defer eds.mu.Unlock()
+	eds.version++
+	eds.pushedAt = append(eds.pushedAt, time.Now())
+	eds.lists[eds.version] = append([]policy.Server(nil), list...)
+	close(eds.changed)
+	eds.changed = make(chan struct{})
 }
 
 // Pushed returns the lists so far, the first of version 1, with the times at which they were set.
-func (e *EDS) Pushed() (lists [][]policy.Server, at []time.Time) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	for v := 1; v <= e.version; v++ {
-		lists = append(lists, e.lists[v])
+func (eds *EDS) Pushed() (lists [][]policy.Server, at []time.Time) {
+	eds.mu.Lock()
+	defer eds.mu.Unlock()
+	for v := 1; v <= eds.version; v++ {
+		lists = append(lists, eds.lists[v])
 	}
-	return lists, append([]time.Time(nil), e.pushed...)
+	return lists, append([]time.Time(nil), eds.pushedAt...)
 }
 
 // Acknowledgements returns the acknowledgements so far, in order.
-func (e *EDS) Acknowledgements() []Acknowledgement {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return append([]Acknowledgement(nil), e.told...)
+func (eds *EDS) Acknowledgements() []Acknowledgement {
+	eds.mu.Lock()
+	defer eds.mu.Unlock()
+	return append([]Acknowledgement(nil), eds.acknowledgements...)
 }
 
 // Close ends the server and its streams.
-func (e *EDS) Close() { e.server.Stop() }
+func (eds *EDS) Close() { eds.server.Stop() }
 
 // StreamEndpoints serves one instance.
-func (e *EDS) StreamEndpoints(s edsv3.EndpointDiscoveryService_StreamEndpointsServer) error {
+func (eds *EDS) StreamEndpoints(s edsv3.EndpointDiscoveryService_StreamEndpointsServer) error {
 	first, err := s.Recv()
 	if err != nil {
 		return err
@@ -104,9 +104,9 @@
 				return
 			}
 			v, _ := strconv.Atoi(r.GetVersionInfo())
-			e.mu.Lock()
-			e.told = append(e.told, Acknowledgement{time.Now(), node, v, r.GetErrorDetail().GetMessage()})
-			e.mu.Unlock()
+			eds.mu.Lock()
+			eds.acknowledgements = append(eds.acknowledgements, Acknowledgement{time.Now(), node, v, r.GetErrorDetail().GetMessage()})
+			eds.mu.Unlock()
 			select {
 			case acks <- struct{}{}:
 			default:
@@ -115,11 +115,11 @@
 	}()
 	sent := 0
 	for {
-		e.mu.Lock()
-		version, list, changed := e.version, e.lists[e.version], e.changed
-		e.mu.Unlock()
+		eds.mu.Lock()
+		version, list, changed := eds.version, eds.lists[eds.version], eds.changed
+		eds.mu.Unlock()
 		if version > sent {
-			a, err := discovery.Assignment(e.cluster, list)
+			a, err := discovery.Assignment(eds.cluster, list)
 			if err != nil {
 				return err
 			}
--- a/internal/standin/model.go
+++ b/internal/standin/model.go
@@ -20,13 +20,13 @@
 
 // Model is the state of a box's cores and queue: first come, first served. It has no clock and no I/O.
 type Model struct {
-	p       Params
-	free    []float64 // when each core has done what it was given
-	started float64   // 0: long ago
-	slow    float64
-	fallen  bool
-	offered []offer   // while cold
-	pending []float64 // when what waits will begin
+	params       Params
+	coreFreeAt   []float64 // when each core has done what it was given
+	startedAt    float64   // 0: long ago
+	slowdown     float64
+	crashed      bool
+	recentOffers []offer   // while cold
+	queuedStarts []float64 // when what waits will begin
 }
 
 type offer struct{ at, work float64 }
@@ -42,91 +42,93 @@
 )
 
 // NewModel returns an idle, warm box.
-func NewModel(p Params) *Model { return &Model{p: p, free: make([]float64, p.Cores), slow: 1} }
+func NewModel(p Params) *Model {
+	return &Model{params: p, coreFreeAt: make([]float64, p.Cores), slowdown: 1}
+}
 
 // Restart empties the box and makes it cold.
-func (m *Model) Restart(now float64) {
-	slow := m.slow
-	*m = *NewModel(m.p)
-	m.started, m.slow = now, slow
+func (model *Model) Restart(now float64) {
+	slow := model.slowdown
+	*model = *NewModel(model.params)
+	model.startedAt, model.slowdown = now, slow
 }
 
 // Slow makes all work take so many times as long, 1 for as usual.
-func (m *Model) Slow(factor float64) { m.slow = factor }
+func (model *Model) Slow(factor float64) { model.slowdown = factor }
 
 // Crashed tells whether the box has fallen over.
-func (m *Model) Crashed() bool { return m.fallen }
+func (model *Model) Crashed() bool { return model.crashed }
 
-// warmth is the share of its capacity that the box has.
-func (m *Model) warmth(now float64) float64 {
-	age := now - m.started
-	if m.started == 0 || age >= m.p.ColdPeriodS {
+// warmShare is the share of its capacity that the box has.
+func (model *Model) warmShare(now float64) float64 {
+	age := now - model.startedAt
+	if model.startedAt == 0 || age >= model.params.ColdPeriodS {
 		return 1
 	}
-	return m.p.ColdStartShare + (1-m.p.ColdStartShare)*max(age, 0)/m.p.ColdPeriodS
+	return model.params.ColdStartShare + (1-model.params.ColdStartShare)*max(age, 0)/model.params.ColdPeriodS
 }
 
 // Offer gives the box work, in seconds of a core of speed 1, and tells when it will be done.
-func (m *Model) Offer(now, work float64) (doneAt float64, r Outcome) {
-	warmth := m.warmth(now)
-	if warmth < 1 && !m.fallen {
-		keep := m.offered[:0]
+func (model *Model) Offer(now, work float64) (doneAt float64, r Outcome) {
+	warmth := model.warmShare(now)
+	if warmth < 1 && !model.crashed {
+		keep := model.recentOffers[:0]
 		sum, most := work, work
-		for _, o := range m.offered {
-			if now-o.at < m.p.OverloadWindowS {
+		for _, o := range model.recentOffers {
+			if now-o.at < model.params.OverloadWindowS {
 				keep = append(keep, o)
 				sum, most = sum+o.work, max(most, o.work)
 			}
 		}
-		m.offered = append(keep, offer{now, work})
-		capacity := float64(m.p.Cores) * m.p.Speed * warmth / m.slow
+		model.recentOffers = append(keep, offer{now, work})
+		capacity := float64(model.params.Cores) * model.params.Speed * warmth / model.slowdown
 		// A little slack for chance: the two largest pieces may come together.
-		m.fallen = sum > m.p.OverloadMultiple*capacity*m.p.OverloadWindowS+2*most
+		model.crashed = sum > model.params.OverloadMultiple*capacity*model.params.OverloadWindowS+2*most
 	}
-	if m.fallen {
+	if model.crashed {
 		return 0, Crashed
 	}
 	best := 0
-	for i, f := range m.free {
-		if f < m.free[best] {
+	for i, f := range model.coreFreeAt {
+		if f < model.coreFreeAt[best] {
 			best = i
 		}
 	}
-	start := max(now, m.free[best])
+	start := max(now, model.coreFreeAt[best])
 	waiting := 0
-	keep := m.pending[:0]
-	for _, at := range m.pending {
+	keep := model.queuedStarts[:0]
+	for _, at := range model.queuedStarts {
 		if at > now {
 			waiting++
 			keep = append(keep, at)
 		}
 	}
-	m.pending = keep
+	model.queuedStarts = keep
 	if start > now {
-		if waiting >= m.p.QueueLength {
+		if waiting >= model.params.QueueLength {
 			return 0, QueueFull
 		}
-		m.pending = append(m.pending, start)
+		model.queuedStarts = append(model.queuedStarts, start)
 	}
-	doneAt = start + work*m.slow/(m.p.Speed*warmth)
-	m.free[best] = doneAt
+	doneAt = start + work*model.slowdown/(model.params.Speed*warmth)
+	model.coreFreeAt[best] = doneAt
 	return doneAt, Accepted
 }
 
 // Util is the share of the cores that is busy now.
-func (m *Model) Util(now float64) float64 {
+func (model *Model) Util(now float64) float64 {
 	n := 0
-	for _, f := range m.free {
+	for _, f := range model.coreFreeAt {
 		if f > now {
 			n++
 		}
 	}
-	return float64(n) / math.Max(1, float64(len(m.free)))
+	return float64(n) / math.Max(1, float64(len(model.coreFreeAt)))
 }
 
 // Waiting is the number of requests that have not begun.
-func (m *Model) Waiting(now float64) (n int) {
-	for _, at := range m.pending {
+func (model *Model) Waiting(now float64) (n int) {
+	for _, at := range model.queuedStarts {
 		if at > now {
 			n++
 		}
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -29,16 +29,16 @@
 
 // PlatformDiscovery stands in for the platform's discovery: HTTP with a long poll.
 type PlatformDiscovery struct {
-	addr string
-	srv  *http.Server
+	addr       string
+	httpServer *http.Server
 
-	mu      sync.Mutex
-	seq     uint64
-	hosts   []PlatformHost
-	changed chan struct{}
-	calls   []string
-	spoil   func(w http.ResponseWriter, r *http.Request) bool
-	told    map[uint64]time.Time // when each version was first written
+	mu            sync.Mutex
+	seq           uint64
+	hosts         []PlatformHost
+	changed       chan struct{}
+	requestURIs   []string
+	intercept     func(w http.ResponseWriter, r *http.Request) bool
+	firstServedAt map[uint64]time.Time // when each version was first written
 }
 
 // NewPlatformDiscovery serves a list at a free address of loopback.
@@ -47,31 +47,31 @@
 	if err != nil {
 		return nil, fmt.Errorf("roster: %w", err)
 	}
-	r := &PlatformDiscovery{addr: ln.Addr().String(), seq: 1, hosts: hosts, changed: make(chan struct{}), told: map[uint64]time.Time{}}
-	r.srv = &http.Server{Handler: http.HandlerFunc(r.serve)}
-	go func() { _ = r.srv.Serve(ln) }() // ends with Close
+	r := &PlatformDiscovery{addr: ln.Addr().String(), seq: 1, hosts: hosts, changed: make(chan struct{}), firstServedAt: map[uint64]time.Time{}}
+	r.httpServer = &http.Server{Handler: http.HandlerFunc(r.serve)}
+	go func() { _ = r.httpServer.Serve(ln) }() // ends with Close
 	return r, nil
 }
 
 // Addr is where it is reached.
-func (r *PlatformDiscovery) Addr() string { return r.addr }
+func (discovery *PlatformDiscovery) Addr() string { return discovery.addr }
 
 // SetHosts replaces the list, and returns its version.
-func (r *PlatformDiscovery) SetHosts(hosts ...PlatformHost) (version uint64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.seq++
-	r.hosts = hosts
-	close(r.changed)
-	r.changed = make(chan struct{})
-	return r.seq
+func (discovery *PlatformDiscovery) SetHosts(hosts ...PlatformHost) (version uint64) {
+	discovery.mu.Lock()
+	defer discovery.mu.Unlock()
+	discovery.seq++
+	discovery.hosts = hosts
+	close(discovery.changed)
+	discovery.changed = make(chan struct{})
+	return discovery.seq
 }
 
 // FirstServedAt is when a list of that version or a newer one was first written to a caller, false if none was.
-func (r *PlatformDiscovery) FirstServedAt(version uint64) (at time.Time, told bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for v, t := range r.told {
+func (discovery *PlatformDiscovery) FirstServedAt(version uint64) (at time.Time, told bool) {
+	discovery.mu.Lock()
+	defer discovery.mu.Unlock()
+	for v, t := range discovery.firstServedAt {
 		if v >= version && (!told || t.Before(at)) {
 			at, told = t, true
 		}
@@ -80,29 +80,29 @@
 }
 
 // Intercept has f answer calls for which it returns true; nil for none.
-func (r *PlatformDiscovery) Intercept(f func(w http.ResponseWriter, req *http.Request) bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.spoil = f
+func (discovery *PlatformDiscovery) Intercept(f func(w http.ResponseWriter, req *http.Request) bool) {
+	discovery.mu.Lock()
+	defer discovery.mu.Unlock()
+	discovery.intercept = f
 }
 
 // Calls are the calls so far, each as its path with its query.
-func (r *PlatformDiscovery) Calls() []string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return append([]string(nil), r.calls...)
+func (discovery *PlatformDiscovery) Calls() []string {
+	discovery.mu.Lock()
+	defer discovery.mu.Unlock()
+	return append([]string(nil), discovery.requestURIs...)
 }
 
 // Close ends it and its connections.
-func (r *PlatformDiscovery) Close() { _ = r.srv.Close() }
+func (discovery *PlatformDiscovery) Close() { _ = discovery.httpServer.Close() }
 
-func (r *PlatformDiscovery) serve(w http.ResponseWriter, req *http.Request) {
-	r.mu.Lock()
-	if len(r.calls) < 1000 {
-		r.calls = append(r.calls, req.URL.RequestURI())
+func (discovery *PlatformDiscovery) serve(w http.ResponseWriter, req *http.Request) {
+	discovery.mu.Lock()
+	if len(discovery.requestURIs) < 1000 {
+		discovery.requestURIs = append(discovery.requestURIs, req.URL.RequestURI())
 	}
-	spoil, changed, seq := r.spoil, r.changed, r.seq
-	r.mu.Unlock()
+	spoil, changed, seq := discovery.intercept, discovery.changed, discovery.seq
+	discovery.mu.Unlock()
 	if spoil != nil && spoil(w, req) {
 		return
 	}
@@ -117,25 +117,25 @@
 			return
 		}
 	}
-	r.mu.Lock()
-	version, text := r.seq, r.list()
-	if _, before := r.told[version]; !before {
-		r.told[version] = time.Now()
+	discovery.mu.Lock()
+	version, text := discovery.seq, discovery.encodeList()
+	if _, before := discovery.firstServedAt[version]; !before {
+		discovery.firstServedAt[version] = time.Now()
 	}
-	r.mu.Unlock()
+	discovery.mu.Unlock()
 	_, _ = w.Write(text)
 }
 
 // List is the whole list as it is served.
-func (r *PlatformDiscovery) List() string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return string(r.list())
+func (discovery *PlatformDiscovery) List() string {
+	discovery.mu.Lock()
+	defer discovery.mu.Unlock()
+	return string(discovery.encodeList())
 }
 
-// list is List with the lock held.
-func (r *PlatformDiscovery) list() []byte {
-	text, err := json.Marshal(map[string]any{"seq": r.seq, "whole": true, "hosts": r.hosts})
+// encodeList is List with the lock held.
+func (discovery *PlatformDiscovery) encodeList() []byte {
+	text, err := json.Marshal(map[string]any{"seq": discovery.seq, "whole": true, "hosts": discovery.hosts})
 	if err != nil {
 		panic(err) // the type has no part that can't be written
 	}
@@ -151,13 +151,13 @@
 // PlatformBackend stands in for a backend of the platform. Each command is answered by Answer, which may wait, write
 // what it likes and close the connection; commands of one connection are answered in turn.
 type PlatformBackend struct {
-	ln     net.Listener
-	work   sync.WaitGroup
-	answer func(c net.Conn, s ReceivedCommand)
+	listener   net.Listener
+	goroutines sync.WaitGroup
+	answer     func(c net.Conn, s ReceivedCommand)
 
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
-	count int
+	total int
 }
 
 // NewPlatformBackend listens at a free address of loopback.
@@ -166,8 +166,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("backend: %w", err)
 	}
-	b := &PlatformBackend{ln: ln, answer: answer, conns: map[net.Conn]struct{}{}}
-	b.work.Add(1)
+	b := &PlatformBackend{listener: ln, answer: answer, conns: map[net.Conn]struct{}{}}
+	b.goroutines.Add(1)
 	go b.accept()
 	return b, nil
 }
@@ -179,57 +179,61 @@
 }
 
 // Addr is where it is reached.
-func (b *PlatformBackend) Addr() string { return b.ln.Addr().String() }
+func (backend *PlatformBackend) Addr() string { return backend.listener.Addr().String() }
 
 // OpenConnections and Count tell how many connections stand, and how many there were.
-func (b *PlatformBackend) OpenConnections() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.conns)
+func (backend *PlatformBackend) OpenConnections() int {
+	backend.mu.Lock()
+	defer backend.mu.Unlock()
+	return len(backend.conns)
+}
+func (backend *PlatformBackend) TotalConnections() int {
+	backend.mu.Lock()
+	defer backend.mu.Unlock()
+	return backend.total
 }
-func (b *PlatformBackend) TotalConnections() int { b.mu.Lock(); defer b.mu.Unlock(); return b.count }
 
 // CloseConnections closes all connections; new ones are taken.
-func (b *PlatformBackend) CloseConnections() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for c := range b.conns {
+func (backend *PlatformBackend) CloseConnections() {
+	backend.mu.Lock()
+	defer backend.mu.Unlock()
+	for c := range backend.conns {
 		c.Close()
 	}
 }
 
 // Close ends it and waits for what runs.
-func (b *PlatformBackend) Close() {
-	b.ln.Close()
-	b.CloseConnections()
-	b.work.Wait()
+func (backend *PlatformBackend) Close() {
+	backend.listener.Close()
+	backend.CloseConnections()
+	backend.goroutines.Wait()
 }
 
-func (b *PlatformBackend) accept() {
-	defer b.work.Done()
+func (backend *PlatformBackend) accept() {
+	defer backend.goroutines.Done()
 	for {
-		c, err := b.ln.Accept()
+		c, err := backend.listener.Accept()
 		if err != nil {
 			return
 		}
-		b.mu.Lock()
-		b.conns[c] = struct{}{}
-		b.count++
-		n := b.count
-		b.mu.Unlock()
-		b.work.Add(1)
+		backend.mu.Lock()
+		backend.conns[c] = struct{}{}
+		backend.total++
+		n := backend.total
+		backend.mu.Unlock()
+		backend.goroutines.Add(1)
 		go func() {
-			defer b.work.Done()
-			b.serve(c, n)
+			defer backend.goroutines.Done()
+			backend.serve(c, n)
 			c.Close()
-			b.mu.Lock()
-			delete(b.conns, c)
-			b.mu.Unlock()
+			backend.mu.Lock()
+			delete(backend.conns, c)
+			backend.mu.Unlock()
 		}()
 	}
 }
 
-func (b *PlatformBackend) serve(c net.Conn, n int) {
+func (backend *PlatformBackend) serve(c net.Conn, n int) {
 	var in []byte
 	buf := make([]byte, 16<<10)
 	for {
@@ -243,7 +247,7 @@
 			if strings.EqualFold(s.Words[0], "INFO") {
 				_, _ = c.Write(resp.AppendBulk(nil, "util=0.50,latency_ms=2"))
 			} else {
-				b.answer(c, s)
+				backend.answer(c, s)
 			}
 			continue
 		}
