--- a/internal/faults/inject.go
+++ b/internal/faults/inject.go
@@ -13,15 +13,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Call names a system call.
+// Call is the name of a system call.
 type Call string
 
-// The calls that can be trapped.
+// The system calls that Start can trap.
 const (
 	Accept     Call = "accept4"
 	Bind       Call = "bind"
 	Connect    Call = "connect"
-	Fcntl      Call = "fcntl" // the runtime duplicates descriptors with it
+	Fcntl      Call = "fcntl" // the Go runtime duplicates descriptors with F_DUPFD_CLOEXEC
 	EpollCtl   Call = "epoll_ctl"
 	EpollWait  Call = "epoll_wait"
 	EpollPwait Call = "epoll_pwait"
@@ -37,6 +37,7 @@
 	Write      Call = "write"
 )
 
+// callNumbers maps each call to its number on this architecture.
 var callNumbers = map[Call]int{
 	Accept: unix.SYS_ACCEPT4, Bind: unix.SYS_BIND, Connect: unix.SYS_CONNECT, Fcntl: unix.SYS_FCNTL, EpollCtl: unix.SYS_EPOLL_CTL,
 	EpollWait: unix.SYS_EPOLL_WAIT, EpollPwait: unix.SYS_EPOLL_PWAIT, Fsync: unix.SYS_FSYNC, Getsockopt: unix.SYS_GETSOCKOPT,
@@ -44,30 +45,30 @@
 	Setsockopt: unix.SYS_SETSOCKOPT, Shutdown: unix.SYS_SHUTDOWN, Socket: unix.SYS_SOCKET, Write: unix.SYS_WRITE,
 }
 
-// Target is what a call's first argument refers to.
+// Target selects calls by the object they act on. It is a part of the object's path, or of the link in /proc/PID/fd.
 type Target string
 
-// The targets. Files are matched by a part of their path with On.
+// The predefined targets. A file is selected by a part of its path.
 const (
 	Any     Target = ""
 	Sockets Target = "socket:"
 	Eventfd Target = "anon_inode:[eventfd]"
 )
 
-// Fault is a way for calls to fail.
+// Fault describes which calls fail, how and how often.
 type Fault struct {
 	Call            Call
-	Target          Target        // or a part of a file's path
-	Errno           unix.Errno    // the call fails so, and nothing of it is carried out
-	BreakConnection bool          // the connection is broken as well, as an error of the network breaks it
-	MaxBytes        int           // of a read or a write on a socket: so many bytes at most are moved, in place of failing
-	Burst, Pause    time.Duration // calls fail for a burst, then none does for a pause, and so on; 0: they may fail at any time
-	Probability     float64       // of the calls that match, 0 to 1, that fail
-	MaxCount        int           // so many times in all; 0: without a bound
-	Port            int           // of either end of a socket; 0: any
+	Target          Target        // a predefined target, or a part of a file's path
+	Errno           unix.Errno    // returned by the call, which is not carried out
+	BreakConnection bool          // also shuts the connection down, as a network error would
+	MaxBytes        int           // if above 0, a read or write on a socket transfers at most so many bytes instead of failing
+	Burst, Pause    time.Duration // calls fail only during bursts, which pauses separate; Burst 0: at any time
+	Probability     float64       // that a matching call fails, 0 to 1
+	MaxCount        int           // the fault occurs at most so many times; 0: no limit
+	Port            int           // local or remote port of the socket; 0: any
 }
 
-// Injector decides on each trapped call of one process. It is safe for concurrent use.
+// Injector decides for each trapped call of one process whether it fails. It is safe for concurrent use.
 type Injector struct {
 	listener int
 	pid      int
@@ -77,8 +78,8 @@
 	mu        sync.Mutex
 	rng       *rand.Rand
 	faults    []Fault
-	setAt     time.Time // when the faults came into force
-	remaining []int     // times, of each of faults
+	setAt     time.Time // when the faults took effect
+	remaining []int     // occurrences left of each fault that has a MaxCount
 	counts    map[Call]int
 }
 
@@ -97,14 +98,14 @@
 	return in, nil
 }
 
-// Seed begins the draws of Share anew.
+// Seed restarts the random draws for Probability from a seed.
 func (in *Injector) Seed(seed uint64) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.rng = rand.New(rand.NewPCG(seed, 1))
 }
 
-// Set replaces the faults; none lets all calls go on.
+// Set replaces the faults. Without arguments, all calls continue normally.
 func (in *Injector) Set(faults ...Fault) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -114,17 +115,17 @@
 	}
 }
 
-// Counts tells how many calls of each kind failed or were cut short so far.
+// Counts returns how many calls of each kind have failed or were cut short so far.
 func (in *Injector) Counts() map[Call]int {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return maps.Clone(in.counts)
 }
 
-// Wait returns once the process is gone and nothing of the Injector runs any more.
+// Wait blocks until the process has exited and the Injector's goroutine has ended.
 func (in *Injector) Wait() { <-in.done }
 
-// notification is struct seccomp_notif.
+// notification has the layout of struct seccomp_notif.
 type notification struct {
 	id      uint64
 	pid     uint32
@@ -135,7 +136,7 @@
 	args    [6]uint64
 }
 
-// response is struct seccomp_notif_resp.
+// response has the layout of struct seccomp_notif_resp.
 type response struct {
 	id    uint64
 	value int64
@@ -143,9 +144,10 @@
 	flags uint32
 }
 
-// pollIntervalMS is the time between two looks whether the process is gone.
+// pollIntervalMS is the interval of the checks whether the process has exited.
 const pollIntervalMS = 200
 
+// serve answers the kernel's notifications until the process exits.
 func (in *Injector) serve() {
 	defer unix.Close(in.listener)
 	defer unix.Close(in.pidfd)
@@ -154,18 +156,19 @@
 		if n, err := unix.Poll(ready, pollIntervalMS); n == 0 || err == unix.EINTR {
 			continue
 		} else if err != nil || ready[0].Revents&unix.POLLIN == 0 {
-			return // the last process under the filter is gone
+			return // the last process under the filter has exited
 		}
 		var n notification
 		if in.ioctl(unix.SECCOMP_IOCTL_NOTIF_RECV, unsafe.Pointer(&n)) != nil {
-			continue // the call was given up meanwhile
+			continue // the call was interrupted meanwhile
 		}
 		r := in.decide(&n)
 		r.id = n.id
-		_ = in.ioctl(unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&r)) // an error means that the call was given up
+		_ = in.ioctl(unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&r)) // an error means that the call was interrupted
 	}
 }
 
+// ioctl runs a request on the listener, and repeats it when a signal interrupts it.
 func (in *Injector) ioctl(request uintptr, data unsafe.Pointer) error {
 	for {
 		_, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(in.listener), request, uintptr(data))
@@ -179,7 +182,7 @@
 	}
 }
 
-// decide says what becomes of a call.
+// decide returns the response for one trapped call.
 func (in *Injector) decide(n *notification) response {
 	goOn := response{flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE}
 	f, fd := in.pick(n)
@@ -204,17 +207,18 @@
 	return response{errno: -int32(f.Errno)}
 }
 
+// count records one injected failure of a call.
 func (in *Injector) count(c Call) {
 	in.mu.Lock()
 	in.counts[c]++
 	in.mu.Unlock()
 }
 
-// pick draws the fault that a call meets, nil for none, and tells the call's descriptor.
+// pick returns the first fault that applies to a call, nil for none, and the call's descriptor.
 func (in *Injector) pick(n *notification) (*Fault, int) {
 	fd := int(int32(n.args[0]))
 	if n.number == unix.SYS_EPOLL_CTL {
-		fd = int(int32(n.args[2])) // the descriptor that is added, changed or taken out
+		fd = int(int32(n.args[2])) // the descriptor that is added, modified or removed
 	}
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -238,7 +242,7 @@
 	return nil, fd
 }
 
-// target is what a call refers to: the path of openat and renameat, and of others that of their descriptor.
+// target returns what a call acts on: the path given to openat or renameat, and the link of the descriptor for other calls.
 func (in *Injector) target(n *notification, fd int) string {
 	if n.number == unix.SYS_OPENAT || n.number == unix.SYS_RENAMEAT {
 		return in.readString(n.args[1])
@@ -250,7 +254,7 @@
 	return path
 }
 
-// hasPort tells whether one end of a socket has the port.
+// hasPort reports whether either end of a socket has the port.
 func (in *Injector) hasPort(fd, port int) bool {
 	own, err := unix.PidfdGetfd(in.pidfd, fd, 0)
 	if err != nil {
@@ -267,10 +271,10 @@
 	return false
 }
 
-// maxPathBytes bounds a path that is read from the process, bytes.
+// maxPathBytes limits the length of a path that is read from the process.
 const maxPathBytes = 512
 
-// readString reads a string of the process.
+// readString reads a null-terminated string from the memory of the process; "" on an error.
 func (in *Injector) readString(address uint64) string {
 	b := make([]byte, maxPathBytes)
 	n, err := in.readMemory(address, b)
@@ -281,14 +285,15 @@
 	return text
 }
 
+// readMemory copies from the memory of the process.
 func (in *Injector) readMemory(address uint64, b []byte) (int, error) {
 	local := []unix.Iovec{{Base: &b[0], Len: uint64(len(b))}}
 	remote := []unix.RemoteIovec{{Base: uintptr(address), Len: len(b)}}
 	return unix.ProcessVMReadv(in.pid, local, remote, 0)
 }
 
-// transferPart carries out a read or a write on a socket for so many bytes at most; false if the call is of another kind, or moves
-// no more than that by itself.
+// transferPart carries out a read or write on a socket for at most so many bytes. It returns false for other calls, and for
+// calls that ask for no more bytes than that.
 func (in *Injector) transferPart(n *notification, fd, most int) (r response, moved bool) {
 	size := int(n.args[2])
 	if size <= most || n.number != unix.SYS_READ && n.number != unix.SYS_WRITE {
@@ -319,6 +324,7 @@
 	return toResponse(got, nil), true
 }
 
+// toResponse converts the result of a call made for the process.
 func toResponse(n int, err error) response {
 	if errno, is := err.(unix.Errno); is {
 		return response{errno: -int32(errno)}
@@ -326,7 +332,7 @@
 	return response{value: int64(n)}
 }
 
-// startConnect begins what the process asked for: an interrupted connect goes on by itself.
+// startConnect starts the connection that the process asked for: an interrupted connect continues in the background.
 func (in *Injector) startConnect(n *notification, fd int) {
 	own, err := unix.PidfdGetfd(in.pidfd, fd, 0)
 	if err != nil {
@@ -339,7 +345,7 @@
 	}
 }
 
-// breakConnection ends a connection of the process in both directions.
+// breakConnection shuts down a connection of the process in both directions.
 func (in *Injector) breakConnection(fd int) {
 	own, err := unix.PidfdGetfd(in.pidfd, fd, 0)
 	if err != nil {
--- a/internal/faults/launch.go
+++ b/internal/faults/launch.go
@@ -1,9 +1,10 @@
-// Package faults runs a program of the project's own while some of its system calls fail. It is a rig for tests: the
-// kernel asks a supervisor in the test's process about each call of the chosen kinds (seccomp user notification), which
-// lets it go on, fails it, or carries out a part of it. No special rights are needed, and no other process is touched.
+// Package faults is a test rig that runs one of the project's programs as a child process and makes some of its system
+// calls fail. For each call of the chosen kinds the kernel notifies a supervisor in the test's process (seccomp user
+// notification), which lets the call continue, makes it fail, or carries out a part of it. This needs no privileges and
+// affects no other process.
 //
-// The program that is tested calls Trap first of all, in place of which the launched process is prepared and the same
-// program begun anew under the filter:
+// The program under test has to call Trap before anything else. In a process that Start has launched, Trap installs the
+// seccomp filter and executes the same program again under it:
 //
 //	func TestMain(m *testing.M) {
 //		faults.Trap()
@@ -25,26 +26,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// trapVariable names, in the environment of a launched process, the calls to be trapped; listenerFD is where it hands the
-// supervisor the listener of its filter.
+// trapVariable is the environment variable that lists the numbers of the calls to trap in a launched process. listenerFD is
+// the descriptor of the socket over which that process sends the filter's notification descriptor to the supervisor.
 const (
 	trapVariable = "COMETPOND_TRAP"
 	listenerFD   = 3
 )
 
-// Trap prepares a process that Start has launched, and begins its program anew under the filter. In any other process it
-// does nothing.
+// Trap installs the filter in a process that Start has launched, and executes its program again under the filter. In any
+// other process it does nothing.
 func Trap() {
 	list := os.Getenv(trapVariable)
 	if list == "" {
 		return
 	}
-	fmt.Fprintln(os.Stderr, "faults:", trapCalls(list)) // it returns only after an error
+	fmt.Fprintln(os.Stderr, "faults:", trapCalls(list)) // trapCalls returns only on an error
 	os.Exit(1)
 }
 
+// trapCalls installs the filter, sends its listener to the supervisor and executes the program again. It returns only on
+// an error.
 func trapCalls(list string) error {
-	runtime.LockOSThread() // the filter is this thread's until the program begins anew
+	runtime.LockOSThread() // the filter applies to this thread only, until the program is executed again
 	var calls []uint32
 	for text := range strings.SplitSeq(list, ",") {
 		n, err := strconv.ParseUint(text, 10, 32)
@@ -58,7 +61,7 @@
 		return err
 	}
 	if err := unix.Sendmsg(listenerFD, []byte{0}, unix.UnixRights(listener), nil, 0); err != nil {
-		return fmt.Errorf("hand over the listener: %w", err)
+		return fmt.Errorf("send the seccomp listener to the supervisor: %w", err)
 	}
 	unix.Close(listener)
 	unix.Close(listenerFD)
@@ -75,13 +78,14 @@
 	return syscall.Exec(self, os.Args, env)
 }
 
-// Offsets in the data that a filter looks at.
+// Offsets of fields in struct seccomp_data, in bytes.
 const (
 	offsetNumber = 0
 	offsetArch   = 4
 )
 
-// installFilter has the kernel ask about the calls of these numbers, and returns where it asks.
+// installFilter installs a seccomp filter that notifies the supervisor of the calls with these numbers. It returns the
+// descriptor of the listener on which the notifications arrive.
 func installFilter(calls []uint32) (listener int, err error) {
 	load := func(offset uint32) unix.SockFilter {
 		return unix.SockFilter{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: offset}
@@ -98,20 +102,21 @@
 	}
 	program = append(program, end(unix.SECCOMP_RET_ALLOW))
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
-		return -1, fmt.Errorf("no new privileges: %w", err)
+		return -1, fmt.Errorf("set no_new_privs: %w", err)
 	}
 	all := unix.SockFprog{Len: uint16(len(program)), Filter: &program[0]}
-	// Once the supervisor has a call in hand, signals do not interrupt it: a part that was carried out would be carried out twice.
+	// WAIT_KILLABLE_RECV: signals don't interrupt a call that the supervisor has received. An interrupted call would be made
+	// again, and a part that had already been carried out would be carried out twice.
 	const flags = unix.SECCOMP_FILTER_FLAG_NEW_LISTENER | unix.SECCOMP_FILTER_FLAG_WAIT_KILLABLE_RECV
 	fd, _, errno := unix.Syscall(unix.SYS_SECCOMP, unix.SECCOMP_SET_MODE_FILTER, flags, uintptr(unsafe.Pointer(&all)))
 	if errno != 0 {
-		return -1, fmt.Errorf("install the filter: %w", errno)
+		return -1, fmt.Errorf("install the seccomp filter: %w", errno)
 	}
 	return int(fd), nil
 }
 
-// Start launches a command whose program calls Trap, with the named calls under the supervision of the Injector that it
-// returns. The faults are in force from the first moment, until Set replaces them.
+// Start launches a command whose program calls Trap, and returns the Injector that supervises the given calls. The faults
+// apply from the start of the program until Set replaces them.
 func Start(cmd *exec.Cmd, calls []Call, first ...Fault) (*Injector, error) {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -124,7 +129,7 @@
 		n, known := callNumbers[c]
 		if !known {
 			theirs.Close()
-			return nil, fmt.Errorf("faults: unknown call %q", c)
+			return nil, fmt.Errorf("faults: unknown system call %q", c)
 		}
 		names = append(names, strconv.Itoa(n))
 	}
@@ -147,7 +152,7 @@
 	return newInjector(listener, cmd.Process.Pid, first)
 }
 
-// receiveDescriptor takes a descriptor over a socket.
+// receiveDescriptor receives one file descriptor over a Unix socket.
 func receiveDescriptor(socket int) (fd int, err error) {
 	data, control := make([]byte, 1), make([]byte, unix.CmsgSpace(4))
 	_, n, _, _, err := unix.Recvmsg(socket, data, control, unix.MSG_CMSG_CLOEXEC)
@@ -156,11 +161,11 @@
 	}
 	messages, err := unix.ParseSocketControlMessage(control[:n])
 	if err != nil || len(messages) == 0 {
-		return -1, errors.New("the launched process has sent no listener: does its program call Trap?")
+		return -1, errors.New("the launched process sent no seccomp listener; check that its program calls faults.Trap")
 	}
 	fds, err := unix.ParseUnixRights(&messages[0])
 	if err != nil || len(fds) == 0 {
-		return -1, fmt.Errorf("listener: %w", err)
+		return -1, fmt.Errorf("receive the seccomp listener: %w", err)
 	}
 	return fds[0], nil
 }
