--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -14,7 +14,7 @@
 	"cometpond/internal/resp"
 )
 
-// client asks one request after the other, over one connection for as long as that stands.
+// client sends one request after the other, over one connection for as long as that is open.
 type client struct {
 	fleet        *fleet
 	rng          *rand.Rand
@@ -22,18 +22,19 @@
 	reader       *bufio.Reader
 	ingress      *ingress
 	process      int
-	requestCount int // requests over the connection
+	requestCount int // requests sent over the connection
 }
 
-// Clients' habits.
+// Parameters of the clients.
 const (
-	disconnectShare = 0.03 // of the requests, in which the client leaves while it waits
-	reconnectShare  = 0.05 // after which it opens another connection
+	disconnectShare = 0.03 // of the requests, during which the client disconnects
+	reconnectShare  = 0.05 // of the requests, after which the client opens a new connection
 	meanThinkTime   = 15 * time.Millisecond
 	dialTimeout     = time.Second
-	refusedPause    = 300 * time.Millisecond // an ingress that refused a connection is left alone
+	refusedPause    = 300 * time.Millisecond // no connection is made to an ingress for so long after it refused one
 )
 
+// run sends requests until the run is over.
 func (c *client) run() {
 	defer c.closeConnection()
 	for !c.fleet.finished() {
@@ -56,8 +57,9 @@
 	}
 }
 
+// connect opens a connection to an ingress that accepts clients, and reports whether it could.
 func (c *client) connect() bool {
-	n, life := c.fleet.pick(c.rng)
+	n, process := c.fleet.pick(c.rng)
 	if n == nil {
 		return false
 	}
@@ -66,11 +68,11 @@
 		n.avoidFor(refusedPause)
 		return false
 	}
-	c.conn, c.reader, c.ingress, c.process, c.requestCount = conn, bufio.NewReader(conn), n, life, 0
+	c.conn, c.reader, c.ingress, c.process, c.requestCount = conn, bufio.NewReader(conn), n, process, 0
 	return true
 }
 
-// sendRequest sends one request and waits for what becomes of it.
+// sendRequest sends one request, waits for its outcome and records it.
 func (c *client) sendRequest() {
 	class := c.fleet.classes[c.rng.IntN(len(c.fleet.classes))]
 	q := Request{ID: c.fleet.newID(), Class: class, Ingress: c.ingress.number, Process: c.process, First: c.requestCount == 0}
@@ -80,7 +82,8 @@
 		pairs += fmt.Sprintf(",k=%016x", c.rng.Uint64())
 	}
 	customer := fmt.Sprintf("%016x", c.rng.IntN(40))
-	command := resp.AppendCommand(nil, class.Command, customer, q.ID, pairs+fmt.Sprintf(",units=1,spread=%d,first=0", c.fleet.ingresses))
+	command := resp.AppendCommand(nil, class.Command, customer, q.ID,
+		pairs+fmt.Sprintf(",units=1,spread=%d,first=0", c.fleet.ingresses))
 	_ = c.conn.SetDeadline(time.Now().Add(class.Deadline + maxLateness + time.Second))
 	if _, err := c.conn.Write(command); err != nil {
 		q.Sent, q.Outcome, q.EndedAt, q.Text = time.Now(), Unsent, time.Now(), err.Error()
@@ -98,13 +101,14 @@
 	c.record(q)
 }
 
-// disconnect closes the connection after a while, whether or not an answer has come by then.
+// disconnect closes the connection after a random time, whether or not a reply has arrived by then.
 func (c *client) disconnect(q *Request) {
 	time.Sleep(time.Duration(c.rng.Float64() * float64(4*meanServiceTime)))
 	c.closeConnection()
 	q.Outcome, q.EndedAt = Disconnected, time.Now()
 }
 
+// awaitReply reads the reply and sets the request's outcome.
 func (c *client) awaitReply(q *Request) {
 	text, err := readReply(c.reader)
 	q.EndedAt, q.Text = time.Now(), text
@@ -132,7 +136,7 @@
 	r.requests = append(r.requests, q)
 }
 
-// readReply reads one answer: a bulk string's text, or a line.
+// readReply reads one RESP reply. It returns the text of a bulk string, and any other reply as its line.
 func readReply(in *bufio.Reader) (string, error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
--- a/internal/soak/deployment.go
+++ b/internal/soak/deployment.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Class is a class of requests.
+// Class describes a class of requests.
 type Class struct {
 	Name     string
 	Command  string
@@ -18,14 +18,14 @@
 	Deadline time.Duration
 }
 
-// deployment is what a run's settings say.
+// deployment holds the parameters of a run's fleet.
 type deployment struct {
 	classes   []Class
 	ingresses int
-	sockets   int // descriptors of one ingress
+	sockets   int // limit of file descriptors of one ingress
 }
 
-// drawDeployment draws the classes' deadlines, short ones on every third run.
+// drawDeployment draws the number of ingresses and the classes' deadlines. Deadlines are short in one run of three.
 func drawDeployment(rng *rand.Rand, crowd bool) deployment {
 	d := deployment{ingresses: 2 + rng.IntN(2), sockets: 1024}
 	if crowd {
@@ -46,12 +46,13 @@
 	return d
 }
 
-// A process is killed no sooner than the longest deadline, counted as 3 s at most, and 0.7 s after it was told to end.
+// A process that received SIGTERM is killed after the longest deadline, counted as 3 s at most, plus 0.7 s.
 const (
 	maxCountedDeadline = 3 * time.Second
 	killDelay          = 700 * time.Millisecond
 )
 
+// killAfter returns the time between SIGTERM and SIGKILL.
 func (d *deployment) killAfter() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range d.classes {
@@ -60,7 +61,7 @@
 	return min(longest, maxCountedDeadline) + killDelay
 }
 
-// settings is the settings object of one ingress.
+// settings returns the settings object of one ingress.
 func (d *deployment) settings(me int) string {
 	effects := map[string]string{"status": `"retryable"`, "order": `"dedup","keyScope":"all","keyTtlS":5`, "pay": `"fragile"`}
 	var profiles []string
@@ -79,7 +80,7 @@
 "scoreParts":{"worstTenant":0.15}}`, d.ingresses, me, strings.Join(profiles, ","))
 }
 
-// configuration is where an ingress finds what it is told.
+// configuration is the configuration file of one ingress.
 type configuration struct {
 	folder, listen, peerListen string
 	peers                      []string
@@ -87,7 +88,7 @@
 
 func (c *configuration) path() string { return filepath.Join(c.folder, "config.json") }
 
-// write replaces the file as a whole.
+// write replaces the file atomically, by a rename.
 func (c *configuration) write(name, discovery, known, settings string, sockets int, seed uint64) error {
 	peers := `"` + strings.Join(c.peers, `","`) + `"`
 	text := fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"seed":"%016x","limits":{"cores":1.0,"memory_mb":96,"sockets":%d},
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -19,23 +19,23 @@
 type Options struct {
 	Seed        uint64
 	Duration    time.Duration
-	IdleClients bool // idle clients fill the descriptors
-	// Program is an ingress that reads EDGE_CONFIG and keeps to EDGE_NOFILE descriptors, with its environment; it calls
-	// faults.Trap.
+	IdleClients bool // idle connections use up the file descriptors of the ingresses
+	// Program returns the command of an ingress with its environment. The program reads EDGE_CONFIG, limits itself to
+	// EDGE_NOFILE descriptors and calls faults.Trap.
 	Program func() *exec.Cmd
-	Folder  string // for configurations
+	Folder  string // for the configuration files
 }
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Violations   []Violation
 	Sent, Served int
-	FailedCalls  int      // calls that were made to fail
-	Events       []string // what happened when
-	Logs         []string // of the ingresses, their ends
+	FailedCalls  int      // system calls that were made to fail
+	Events       []string // the events of the run with their times
+	Logs         []string // the last part of each ingress's log
 }
 
-// fleet is a run under way.
+// fleet is the state of one run.
 type fleet struct {
 	deployment
 	seed        uint64
@@ -44,31 +44,31 @@
 	ingressList []*ingress
 	end         time.Time
 	lastID      atomic.Uint64
-	background  sync.WaitGroup // troubles that go on by themselves
+	background  sync.WaitGroup // faults that end by themselves, in the background
 
 	mu          sync.Mutex
 	rng         *rand.Rand
-	servers     []*server // listed, in order of their start
-	delisted    []*server // not listed any more, and serving on
+	servers     []*server // on the list, in order of their start
+	delisted    []*server // drained; they still serve requests
 	drains      []pendingDrain
 	serverCount int
 }
 
-// pendingDrain is a drain that each ingress is told of by a version of the list.
+// pendingDrain is a drain together with the list versions that announce it to each ingress.
 type pendingDrain struct {
 	server   string
-	versions [][2]uint64 // by ingress and discovery
+	versions [][2]uint64 // by ingress and discovery server
 	at       time.Time
 }
 
-// Sizes of a fleet.
+// Sizes of a fleet and of its load.
 const (
 	initialServers            = 4
-	clientsPerIngress         = 6 // of an ingress
+	clientsPerIngress         = 6 // for each ingress
 	idleConnectionsPerIngress = 200
 )
 
-// Run plays one run and judges it.
+// Run carries out one run and checks it against the rules.
 func Run(o Options) (*Report, error) {
 	rng := rand.New(rand.NewPCG(o.Seed, 7))
 	f := &fleet{deployment: drawDeployment(rng, o.IdleClients), seed: o.Seed, program: o.Program, rng: rng}
@@ -95,7 +95,7 @@
 	return r, err
 }
 
-// play has clients ask while troubles come, until the end.
+// play runs the clients and the faults until the end of the run.
 func (f *fleet) play(o Options) error {
 	stopped := make(chan struct{})
 	var work sync.WaitGroup
@@ -128,7 +128,7 @@
 	return err
 }
 
-// startAll starts all ingresses.
+// startAll creates and starts all ingresses.
 func (f *fleet) startAll(folder string) error {
 	var peers []string
 	for range f.ingresses {
@@ -169,7 +169,7 @@
 	return errors.Join(errs...)
 }
 
-// stop ends all processes, and tells how many calls were made to fail.
+// stop ends all processes, and returns how many system calls were made to fail.
 func (f *fleet) stop() (failed int) {
 	for _, n := range f.ingressList {
 		n.stop()
@@ -180,6 +180,7 @@
 	return failed
 }
 
+// close ends all ingresses and servers.
 func (f *fleet) close() {
 	for _, n := range f.ingressList {
 		n.stop()
@@ -189,41 +190,41 @@
 	}
 }
 
-// finished tells that clients begin no more requests.
+// finished reports whether the run is over, so that clients send no more requests.
 func (f *fleet) finished() bool { return time.Now().After(f.end) }
 
 func (f *fleet) newID() string { return fmt.Sprintf("%016x", f.lastID.Add(1)) }
 
-// draw returns a number from 0 up to below n.
+// draw returns a random number in [0, n).
 func (f *fleet) draw(n int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.rng.IntN(n)
 }
 
-// updateRecord changes what the record holds.
+// updateRecord calls change with the record's lock held.
 func (f *fleet) updateRecord(change func()) {
 	f.record.mu.Lock()
 	defer f.record.mu.Unlock()
 	change()
 }
 
-// pick returns an ingress that the front sends clients to, and which of its processes runs; nil if there is none.
+// pick returns an ingress that accepts clients and the number of its current process; nil if there is none.
 func (f *fleet) pick(rng *rand.Rand) (*ingress, int) {
 	from := rng.IntN(len(f.ingressList))
 	for k := range f.ingressList {
 		n := f.ingressList[(from+k)%len(f.ingressList)]
 		n.mu.Lock()
-		ok, life := n.accepting && time.Now().After(n.refusingUntil), len(n.processes)-1
+		ok, process := n.accepting && time.Now().After(n.refusingUntil), len(n.processes)-1
 		n.mu.Unlock()
 		if ok {
-			return n, life
+			return n, process
 		}
 	}
 	return nil, 0
 }
 
-// openIdleConnections opens idle connections to every ingress.
+// openIdleConnections opens idle connections to all ingresses.
 func (f *fleet) openIdleConnections() (list []net.Conn) {
 	for _, n := range f.ingressList {
 		for range idleConnectionsPerIngress {
@@ -232,17 +233,17 @@
 			}
 		}
 	}
-	f.record.note("crowd: %d idle connections", len(list))
+	f.record.note("opened %d idle connections", len(list))
 	return list
 }
 
-// Stalls of this process of which times near them are not judged.
+// A pause of this process by at least minPause makes its own times unreliable: times near it are not judged.
 const (
 	pauseCheckInterval = 10 * time.Millisecond
 	minPause           = 30 * time.Millisecond
 )
 
-// watchOwnPauses notes when this process stood still: then what it saw may be older than it seems.
+// watchOwnPauses records when this process was paused, since events it saw then may have happened earlier than recorded.
 func (r *Record) watchOwnPauses(stopped <-chan struct{}) {
 	tick := time.NewTicker(pauseCheckInterval)
 	defer tick.Stop()
@@ -261,6 +262,7 @@
 	}
 }
 
+// freeTCP returns a free TCP address on loopback.
 func freeTCP() (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -270,6 +272,7 @@
 	return ln.Addr().String(), nil
 }
 
+// freeUDP returns a free UDP address on loopback.
 func freeUDP() (string, error) {
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
--- a/internal/soak/trouble.go
+++ b/internal/soak/scenario.go
@@ -13,14 +13,14 @@
 	"cometpond/internal/standin"
 )
 
-// scenario is one kind of event. It returns once it is over, or has begun what goes on by itself.
+// scenario is one kind of fault or planned event. Its function returns when the event is over, or continues in the background.
 type scenario struct {
 	name   string
 	weight int
 	play   func(f *fleet) error
 }
 
-// The troubles, and how often each comes beside the others.
+// scenarios returns all scenarios with the weights by which they are drawn.
 func scenarios() []scenario {
 	return []scenario{
 		{"failing calls", 10, (*fleet).failingCalls},
@@ -36,16 +36,16 @@
 	}
 }
 
-// Times between two troubles, and of one.
+// The pause after each scenario, and the longest duration of a fault in the background.
 const (
 	scenarioInterval = 250 * time.Millisecond
 	maxFaultMS       = 1500 // milliseconds
 )
 
-// maxSeries is how many series of troubles run beside each other, by the seed.
+// maxSeries is the highest number of concurrent series of scenarios. The seed selects the number.
 const maxSeries = 3
 
-// playFaults plays series of them beside each other until the end. The last ones have time to pass.
+// playFaults runs concurrent series of scenarios until shortly before the end of the run, so that the last ones can end.
 func (f *fleet) playFaults() error {
 	errs := make([]error, 1+f.seed%maxSeries)
 	var work sync.WaitGroup
@@ -60,7 +60,7 @@
 	return errors.Join(errs...)
 }
 
-// series plays one trouble after the other.
+// series runs randomly drawn scenarios one after the other.
 func (f *fleet) series() error {
 	list := scenarios()
 	sum := 0
@@ -82,31 +82,37 @@
 	return nil
 }
 
-// anyIngress draws an ingress.
+// anyIngress returns a random ingress.
 func (f *fleet) anyIngress() *ingress { return f.ingressList[f.draw(len(f.ingressList))] }
 
-// drawDuration draws how long something lasts.
+// drawDuration returns a random duration between two bounds, in whole milliseconds.
 func (f *fleet) drawDuration(least, most time.Duration) time.Duration {
 	return least + time.Duration(f.draw(int((most-least)/time.Millisecond)+1))*time.Millisecond
 }
 
-// momentaryFaults are faults that last for a moment each.
+// momentaryFaults returns the faults of system calls from which failingCalls draws.
 func momentaryFaults() []faults.Fault {
 	return []faults.Fault{
 		{Call: faults.Accept, Errno: unix.ENFILE, Probability: 1}, {Call: faults.Accept, Errno: unix.ECONNABORTED, Probability: 0.5},
 		{Call: faults.Accept, Errno: unix.ENOBUFS, Probability: 0.5}, {Call: faults.Accept, Errno: unix.EPROTO, Probability: 0.3},
-		{Call: faults.Read, Target: faults.Sockets, Errno: unix.EINTR, Probability: 0.3}, {Call: faults.Read, Target: faults.Sockets, Errno: unix.ENOMEM, Probability: 0.3},
-		{Call: faults.Read, Target: faults.Sockets, MaxBytes: 5, Probability: 0.7}, {Call: faults.Write, Target: faults.Sockets, MaxBytes: 5, Probability: 0.7},
-		{Call: faults.Write, Target: faults.Sockets, Errno: unix.EAGAIN, Probability: 0.3}, {Call: faults.Write, Target: faults.Sockets, Errno: unix.ENOBUFS, Probability: 0.3},
-		{Call: faults.Write, Target: faults.Eventfd, Errno: unix.EINTR, Probability: 0.3}, {Call: faults.EpollPwait, Errno: unix.EINTR, Probability: 0.3},
+		{Call: faults.Read, Target: faults.Sockets, Errno: unix.EINTR, Probability: 0.3},
+		{Call: faults.Read, Target: faults.Sockets, Errno: unix.ENOMEM, Probability: 0.3},
+		{Call: faults.Read, Target: faults.Sockets, MaxBytes: 5, Probability: 0.7},
+		{Call: faults.Write, Target: faults.Sockets, MaxBytes: 5, Probability: 0.7},
+		{Call: faults.Write, Target: faults.Sockets, Errno: unix.EAGAIN, Probability: 0.3},
+		{Call: faults.Write, Target: faults.Sockets, Errno: unix.ENOBUFS, Probability: 0.3},
+		{Call: faults.Write, Target: faults.Eventfd, Errno: unix.EINTR, Probability: 0.3},
+		{Call: faults.EpollPwait, Errno: unix.EINTR, Probability: 0.3},
 		{Call: faults.EpollCtl, Target: faults.Sockets, Errno: unix.ENOMEM, Probability: 0.3},
-		{Call: faults.Socket, Errno: unix.ENFILE, Probability: 1}, {Call: faults.Socket, Errno: unix.ENOBUFS, Probability: 0.5},
-		{Call: faults.Connect, Errno: unix.EADDRNOTAVAIL, Probability: 1}, {Call: faults.Connect, Errno: unix.ENETUNREACH, Probability: 0.5},
+		{Call: faults.Socket, Errno: unix.ENFILE, Probability: 1},
+		{Call: faults.Socket, Errno: unix.ENOBUFS, Probability: 0.5},
+		{Call: faults.Connect, Errno: unix.EADDRNOTAVAIL, Probability: 1},
+		{Call: faults.Connect, Errno: unix.ENETUNREACH, Probability: 0.5},
 		{Call: faults.Setsockopt, Errno: unix.ENOBUFS, Probability: 0.5},
 	}
 }
 
-// failingCalls has up to three kinds of calls fail at one or at all ingresses.
+// failingCalls injects up to three faults of system calls into one or all ingresses for a short time.
 func (f *fleet) failingCalls() error {
 	all := momentaryFaults()
 	var list []faults.Fault
@@ -131,7 +137,7 @@
 	return nil
 }
 
-// brokenConnections has connections to one server break, as a network that fails shows it.
+// brokenConnections breaks connections to one server with the errors of a failing network.
 func (f *fleet) brokenConnections() error {
 	n := f.anyIngress()
 	s := f.anyServer()
@@ -139,13 +145,14 @@
 	call := []faults.Call{faults.Read, faults.Write}[f.draw(2)]
 	d := f.drawDuration(50*time.Millisecond, 300*time.Millisecond)
 	f.record.note("n%d: connections to %s break by %v for %v", n.number, s.name, errno, d)
-	n.setFaults(faults.Fault{Call: call, Target: faults.Sockets, Port: portOf(s.backends[n.number].Addr()), Errno: errno, BreakConnection: true, Probability: 0.3})
+	n.setFaults(faults.Fault{Call: call, Target: faults.Sockets, Port: portOf(s.backends[n.number].Addr()),
+		Errno: errno, BreakConnection: true, Probability: 0.3})
 	time.Sleep(d)
 	n.setFaults()
 	return nil
 }
 
-// terminate restarts an ingress as planned, sometimes with a new configuration at the same moment.
+// terminate restarts an ingress with SIGTERM, half of the time right after a new configuration.
 func (f *fleet) terminate() error {
 	n, times := f.anyIngress(), 1+f.draw(3)
 	if f.draw(2) == 0 {
@@ -159,15 +166,17 @@
 	return err
 }
 
+// killAtOnce restarts an ingress with SIGKILL.
 func (f *fleet) killAtOnce() error {
 	n := f.anyIngress()
 	f.record.note("n%d: SIGKILL", n.number)
 	return n.kill()
 }
 
+// switchDiscovery moves a random ingress to its other discovery server.
 func (f *fleet) switchDiscovery() error { return f.reloadConfiguration(f.anyIngress(), 1+f.draw(3)) }
 
-// reloadConfiguration moves an ingress to its other discovery, with so many signals in a row.
+// reloadConfiguration writes a configuration with the other discovery server and sends SIGHUP the given number of times.
 func (f *fleet) reloadConfiguration(n *ingress, times int) error {
 	f.mu.Lock()
 	n.discoveryInUse = 1 - n.discoveryInUse
@@ -183,9 +192,10 @@
 	return nil
 }
 
-// maxPause is how long an ingress may be held up and has to keep all rules but those on time.
+// maxPause is the longest pause of an ingress. The ingress has to keep all rules despite it, except those on times.
 const maxPause = 150 * time.Millisecond
 
+// pauseIngress stops an ingress with SIGSTOP for a short time.
 func (f *fleet) pauseIngress() error {
 	n := f.anyIngress()
 	d := f.drawDuration(20*time.Millisecond, maxPause)
@@ -198,12 +208,12 @@
 	return nil
 }
 
-// degradeServer has a server behave badly for a while.
+// degradeServer gives a server a random faulty behavior for a while.
 func (f *fleet) degradeServer() error {
 	s := f.anyServer()
 	m := []behavior{unresponsive, closing, busy, slow}[f.draw(4)]
 	d := f.drawDuration(200*time.Millisecond, maxFaultMS*time.Millisecond)
-	f.record.note("%s: mood %d for %v", s.name, m, d)
+	f.record.note("%s: behavior %d for %v", s.name, m, d)
 	s.setBehavior(m)
 	f.background.Add(1)
 	go func() {
@@ -214,7 +224,7 @@
 	return nil
 }
 
-// discoveryDown has discovery of one ingress refuse, or say nothing.
+// discoveryDown makes the discovery servers of one ingress close requests, at once or only when the fault ends.
 func (f *fleet) discoveryDown() error {
 	n := f.anyIngress()
 	d := f.drawDuration(300*time.Millisecond, maxFaultMS*time.Millisecond)
@@ -238,9 +248,9 @@
 	return nil
 }
 
-// ---- The list of servers ----
+// The list of servers.
 
-// hosts is the list as one ingress gets it. Those that drain are named so.
+// hosts returns the list for one ingress. Draining servers are listed with the health DRAINING.
 func (f *fleet) hosts(n int) (list []standin.PlatformHost) {
 	for _, s := range f.servers {
 		list = append(list, s.host(n, "SERVING"))
@@ -255,16 +265,17 @@
 	return list
 }
 
-// listedAsDraining is how long a server that drains stays on the list.
+// listedAsDraining is how long a draining server stays on the list.
 const listedAsDraining = 2 * time.Second
 
+// anyServer returns a random server on the list.
 func (f *fleet) anyServer() *server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.servers[f.rng.IntN(len(f.servers))]
 }
 
-// addServer starts a server, which the next list names.
+// addServer starts a server, which is part of the next published list.
 func (f *fleet) addServer() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -277,6 +288,7 @@
 	return nil
 }
 
+// addAndPublish adds a server and publishes the list.
 func (f *fleet) addAndPublish() error {
 	if err := f.addServer(); err != nil {
 		return err
@@ -286,7 +298,7 @@
 	return nil
 }
 
-// drain has a server take nothing new; another one comes in its place.
+// drain drains a random server and adds another one in its place.
 func (f *fleet) drain() error {
 	if err := f.addServer(); err != nil {
 		return err
@@ -302,7 +314,7 @@
 	return nil
 }
 
-// publishList gives every discovery the list, in which a server drains, "" for none.
+// publishList publishes the list to all discovery servers. It names the server that starts to drain, "" for none.
 func (f *fleet) publishList(drains string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -322,17 +334,17 @@
 	}
 }
 
-// resolveDrains finds when each ingress was first told of each drain.
+// resolveDrains records when each ingress was first notified of each drain.
 func (f *fleet) resolveDrains() {
 	for _, d := range f.drains {
-		told := make([]time.Time, len(f.ingressList))
+		notifiedAt := make([]time.Time, len(f.ingressList))
 		for i, n := range f.ingressList {
 			for k, r := range n.discovery {
-				if at, was := r.FirstServedAt(d.versions[i][k]); was && (told[i].IsZero() || at.Before(told[i])) {
-					told[i] = at
+				if at, was := r.FirstServedAt(d.versions[i][k]); was && (notifiedAt[i].IsZero() || at.Before(notifiedAt[i])) {
+					notifiedAt[i] = at
 				}
 			}
 		}
-		f.record.drains = append(f.record.drains, Drain{Server: d.server, NotifiedAt: told})
+		f.record.drains = append(f.record.drains, Drain{Server: d.server, NotifiedAt: notifiedAt})
 	}
 }
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -12,18 +12,18 @@
 	"cometpond/internal/standin"
 )
 
-// behavior is how a server behaves.
+// behavior is how a server responds to commands.
 type behavior int
 
 const (
 	healthy      behavior = iota
-	unresponsive          // takes commands and answers none
-	closing               // closes connections under commands, with no answer
-	busy                  // turns commands away
+	unresponsive          // reads commands and answers none
+	closing               // closes the connection on each command, without a reply
+	busy                  // rejects commands with -BUSY
 	slow
 )
 
-// server is one server of the fleet: an address for each ingress, so that it is known who sent what.
+// server is one server behind the fleet. It has an address for each ingress, which identifies the sender of a command.
 type server struct {
 	name     string
 	record   *Record
@@ -33,9 +33,10 @@
 	mu       sync.Mutex
 	behavior behavior
 	rng      *rand.Rand
-	closed   chan struct{} // closed with the server: what hangs ends
+	closed   chan struct{} // closed with the server, which ends unanswered commands
 }
 
+// newServer starts a server with an address for each ingress.
 func newServer(name string, ingresses int, seed uint64, r *Record) (*server, error) {
 	s := &server{name: name, record: r, rng: rand.New(rand.NewPCG(seed, 3)), closed: make(chan struct{}), start: time.Now()}
 	for n := range ingresses {
@@ -62,12 +63,13 @@
 	srv.behavior = m
 }
 
-// Times of service.
+// Service times.
 const (
 	meanServiceTime = 15 * time.Millisecond
 	slowServiceTime = 300 * time.Millisecond
 )
 
+// serve records a command and answers it according to the server's behavior.
 func (srv *server) serve(ingress int, c net.Conn, q standin.ReceivedCommand) {
 	if len(q.Words) < 4 {
 		_, _ = c.Write([]byte("-SYNTAX\r\n"))
@@ -109,12 +111,12 @@
 	}
 }
 
-// host is the server's entry in the list that one ingress gets.
+// host returns the server's entry in the list that one ingress receives.
 func (srv *server) host(ingress int, health string) standin.PlatformHost {
 	return standin.PlatformHost{Host: srv.name, Dial: srv.backends[ingress].Addr(), Site: "room-a", Health: health, Share: 1}
 }
 
-// portOf is the port of an address that this package has made.
+// portOf returns the port of an address. The address has to be valid.
 func portOf(addr string) int {
 	_, text, _ := net.SplitHostPort(addr)
 	n, _ := strconv.Atoi(text)
