--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -59,16 +59,16 @@
 
 // connect opens a connection to an ingress that accepts clients, and reports whether it could.
 func (c *client) connect() bool {
-	n, process := c.fleet.pick(c.rng)
-	if n == nil {
+	ing, process := c.fleet.pick(c.rng)
+	if ing == nil {
 		return false
 	}
-	conn, err := net.DialTimeout("tcp", n.cfg.listen, dialTimeout)
+	conn, err := net.DialTimeout("tcp", ing.cfg.listen, dialTimeout)
 	if err != nil {
-		n.avoidFor(refusedPause)
+		ing.avoidFor(refusedPause)
 		return false
 	}
-	c.conn, c.reader, c.ingress, c.process, c.requestCount = conn, bufio.NewReader(conn), n, process, 0
+	c.conn, c.reader, c.ingress, c.process, c.requestCount = conn, bufio.NewReader(conn), ing, process, 0
 	return true
 }
 
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -89,8 +89,8 @@
 	f.resolveDrains()
 	r := &Report{FailedCalls: failed, Events: f.record.events}
 	r.Violations, r.Sent, r.Served = f.record.Judge()
-	for _, n := range f.ingressList {
-		r.Logs = append(r.Logs, n.log.String())
+	for _, ing := range f.ingressList {
+		r.Logs = append(r.Logs, ing.log.String())
 	}
 	return r, err
 }
@@ -139,8 +139,8 @@
 		peers = append(peers, addr)
 	}
 	for i := range f.ingresses {
-		n := &ingress{fleet: f, number: i}
-		f.ingressList = append(f.ingressList, n)
+		ing := &ingress{fleet: f, number: i}
+		f.ingressList = append(f.ingressList, ing)
 		listen, err := freeTCP()
 		if err != nil {
 			return err
@@ -149,20 +149,20 @@
 		if err := os.MkdirAll(home, 0o700); err != nil {
 			return fmt.Errorf("soak: %w", err)
 		}
-		n.cfg = &configuration{folder: home, listen: listen, peerListen: peers[i], peers: peers}
-		for k := range n.discovery {
-			if n.discovery[k], err = standin.NewPlatformDiscovery(f.hosts(i)...); err != nil {
+		ing.cfg = &configuration{folder: home, listen: listen, peerListen: peers[i], peers: peers}
+		for k := range ing.discovery {
+			if ing.discovery[k], err = standin.NewPlatformDiscovery(f.hosts(i)...); err != nil {
 				return err
 			}
 		}
 	}
 	errs := make([]error, len(f.ingressList))
 	var work sync.WaitGroup
-	for i, n := range f.ingressList {
+	for i, ing := range f.ingressList {
 		work.Add(1)
 		go func() {
 			defer work.Done()
-			errs[i] = n.start()
+			errs[i] = ing.start()
 		}()
 	}
 	work.Wait()
@@ -171,19 +171,19 @@
 
 // stop ends all processes, and returns how many system calls were made to fail.
 func (f *fleet) stop() (failed int) {
-	for _, n := range f.ingressList {
-		n.stop()
+	for _, ing := range f.ingressList {
+		ing.stop()
 	}
-	for _, n := range f.ingressList {
-		failed += n.failedCalls
+	for _, ing := range f.ingressList {
+		failed += ing.failedCalls
 	}
 	return failed
 }
 
 // close ends all ingresses and servers.
 func (f *fleet) close() {
-	for _, n := range f.ingressList {
-		n.stop()
+	for _, ing := range f.ingressList {
+		ing.stop()
 	}
 	for _, s := range append(f.servers, f.delisted...) {
 		s.close()
@@ -213,12 +213,12 @@
 func (f *fleet) pick(rng *rand.Rand) (*ingress, int) {
 	from := rng.IntN(len(f.ingressList))
 	for k := range f.ingressList {
-		n := f.ingressList[(from+k)%len(f.ingressList)]
-		n.mu.Lock()
-		ok, process := n.accepting && time.Now().After(n.refusingUntil), len(n.processes)-1
-		n.mu.Unlock()
+		ing := f.ingressList[(from+k)%len(f.ingressList)]
+		ing.mu.Lock()
+		ok, process := ing.accepting && time.Now().After(ing.refusingUntil), len(ing.processes)-1
+		ing.mu.Unlock()
 		if ok {
-			return n, process
+			return ing, process
 		}
 	}
 	return nil, 0
@@ -226,9 +226,9 @@
 
 // openIdleConnections opens idle connections to all ingresses.
 func (f *fleet) openIdleConnections() (list []net.Conn) {
-	for _, n := range f.ingressList {
+	for _, ing := range f.ingressList {
 		for range idleConnectionsPerIngress {
-			if c, err := net.DialTimeout("tcp", n.cfg.listen, dialTimeout); err == nil {
+			if c, err := net.DialTimeout("tcp", ing.cfg.listen, dialTimeout); err == nil {
 				list = append(list, c)
 			}
 		}
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -56,7 +56,7 @@
 
 // Process records one process of an ingress.
 type Process struct {
-	Started, Terminated, Killed time.Time // Terminated, Killed: when the signal was sent; zero: never
+	Started, Terminated, Killed time.Time // zero: never; Killed is also the time of an exit after SIGTERM
 	KilledAtOnce                bool      // without a SIGTERM before
 	Exited                      error     // the error of a process that exited by itself; nil: without an error, or it did not exit
 	ReadyAfter                  time.Duration
--- a/internal/soak/scenario.go
+++ b/internal/soak/scenario.go
@@ -127,66 +127,66 @@
 	for _, x := range list {
 		f.record.note("%d ingresses: %s %q fails by %v, short %d, for %v", len(members), x.Call, x.Target, x.Errno, x.MaxBytes, d)
 	}
-	for _, n := range members {
-		n.setFaults(list...)
+	for _, ing := range members {
+		ing.setFaults(list...)
 	}
 	time.Sleep(d)
-	for _, n := range members {
-		n.setFaults()
+	for _, ing := range members {
+		ing.setFaults()
 	}
 	return nil
 }
 
 // brokenConnections breaks connections to one server with the errors of a failing network.
 func (f *fleet) brokenConnections() error {
-	n := f.anyIngress()
+	ing := f.anyIngress()
 	s := f.anyServer()
 	errno := []unix.Errno{unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNRESET}[f.draw(3)]
 	call := []faults.Call{faults.Read, faults.Write}[f.draw(2)]
 	d := f.drawDuration(50*time.Millisecond, 300*time.Millisecond)
-	f.record.note("n%d: connections to %s break by %v for %v", n.number, s.name, errno, d)
-	n.setFaults(faults.Fault{Call: call, Target: faults.Sockets, Port: portOf(s.backends[n.number].Addr()),
+	f.record.note("n%d: connections to %s break by %v for %v", ing.number, s.name, errno, d)
+	ing.setFaults(faults.Fault{Call: call, Target: faults.Sockets, Port: portOf(s.backends[ing.number].Addr()),
 		Errno: errno, BreakConnection: true, Probability: 0.3})
 	time.Sleep(d)
-	n.setFaults()
+	ing.setFaults()
 	return nil
 }
 
 // terminate restarts an ingress with SIGTERM, half of the time right after a new configuration.
 func (f *fleet) terminate() error {
-	n, times := f.anyIngress(), 1+f.draw(3)
+	ing, times := f.anyIngress(), 1+f.draw(3)
 	if f.draw(2) == 0 {
-		if err := f.reloadConfiguration(n, 1+f.draw(2)); err != nil {
+		if err := f.reloadConfiguration(ing, 1+f.draw(2)); err != nil {
 			return err
 		}
 	}
-	f.record.note("n%d: SIGTERM %d times", n.number, times)
-	err := n.restart(times)
-	f.record.note("n%d: serves again", n.number)
+	f.record.note("n%d: SIGTERM %d times", ing.number, times)
+	err := ing.restart(times)
+	f.record.note("n%d: serves again", ing.number)
 	return err
 }
 
 // killAtOnce restarts an ingress with SIGKILL.
 func (f *fleet) killAtOnce() error {
-	n := f.anyIngress()
-	f.record.note("n%d: SIGKILL", n.number)
-	return n.kill()
+	ing := f.anyIngress()
+	f.record.note("n%d: SIGKILL", ing.number)
+	return ing.kill()
 }
 
 // switchDiscovery moves a random ingress to its other discovery server.
 func (f *fleet) switchDiscovery() error { return f.reloadConfiguration(f.anyIngress(), 1+f.draw(3)) }
 
 // reloadConfiguration writes a configuration with the other discovery server and sends SIGHUP the given number of times.
-func (f *fleet) reloadConfiguration(n *ingress, times int) error {
+func (f *fleet) reloadConfiguration(ing *ingress, times int) error {
 	f.mu.Lock()
-	n.discoveryInUse = 1 - n.discoveryInUse
+	ing.discoveryInUse = 1 - ing.discoveryInUse
 	f.mu.Unlock()
-	if err := n.configure(); err != nil {
+	if err := ing.configure(); err != nil {
 		return err
 	}
-	f.record.note("n%d: SIGHUP %d times, discovery %d", n.number, times, n.discoveryInUse)
+	f.record.note("n%d: SIGHUP %d times, discovery %d", ing.number, times, ing.discoveryInUse)
 	for range times {
-		n.signal(syscall.SIGHUP)
+		ing.signal(syscall.SIGHUP)
 		time.Sleep(time.Duration(f.draw(30)) * time.Millisecond)
 	}
 	return nil
@@ -197,13 +197,13 @@
 
 // pauseIngress stops an ingress with SIGSTOP for a short time.
 func (f *fleet) pauseIngress() error {
-	n := f.anyIngress()
+	ing := f.anyIngress()
 	d := f.drawDuration(20*time.Millisecond, maxPause)
 	from := time.Now()
-	f.record.note("n%d: SIGSTOP for %v", n.number, d)
-	n.signal(syscall.SIGSTOP)
+	f.record.note("n%d: SIGSTOP for %v", ing.number, d)
+	ing.signal(syscall.SIGSTOP)
 	time.Sleep(d)
-	n.signal(syscall.SIGCONT)
+	ing.signal(syscall.SIGCONT)
 	f.record.addPause(Span{from, time.Now().Add(maxPause)})
 	return nil
 }
@@ -226,12 +226,12 @@
 
 // discoveryDown makes the discovery servers of one ingress close requests, at once or only when the fault ends.
 func (f *fleet) discoveryDown() error {
-	n := f.anyIngress()
+	ing := f.anyIngress()
 	d := f.drawDuration(300*time.Millisecond, maxFaultMS*time.Millisecond)
 	silent := f.draw(2) == 0
-	f.record.note("n%d: discovery down for %v, silent %v", n.number, d, silent)
+	f.record.note("n%d: discovery down for %v, silent %v", ing.number, d, silent)
 	until := time.Now().Add(d)
-	for _, r := range n.discovery {
+	for _, r := range ing.discovery {
 		r.Intercept(func(w http.ResponseWriter, q *http.Request) bool {
 			if time.Now().After(until) {
 				return false
@@ -251,14 +251,14 @@
 // The list of servers.
 
 // hosts returns the list for one ingress. Draining servers are listed with the health DRAINING.
-func (f *fleet) hosts(n int) (list []standin.PlatformHost) {
+func (f *fleet) hosts(ingressNumber int) (list []standin.PlatformHost) {
 	for _, s := range f.servers {
-		list = append(list, s.host(n, "SERVING"))
+		list = append(list, s.host(ingressNumber, "SERVING"))
 	}
 	for _, d := range f.drains {
 		for _, s := range f.delisted {
 			if s.name == d.server && time.Since(d.at) < listedAsDraining {
-				list = append(list, s.host(n, "DRAINING"))
+				list = append(list, s.host(ingressNumber, "DRAINING"))
 			}
 		}
 	}
@@ -322,9 +322,9 @@
 	if drains != "" {
 		f.drains = append(f.drains, d)
 	}
-	for i, n := range f.ingressList {
+	for i, ing := range f.ingressList {
 		var versions [2]uint64
-		for k, r := range n.discovery {
+		for k, r := range ing.discovery {
 			versions[k] = r.SetHosts(f.hosts(i)...)
 		}
 		d.versions = append(d.versions, versions)
@@ -338,8 +338,8 @@
 func (f *fleet) resolveDrains() {
 	for _, d := range f.drains {
 		notifiedAt := make([]time.Time, len(f.ingressList))
-		for i, n := range f.ingressList {
-			for k, r := range n.discovery {
+		for i, ing := range f.ingressList {
+			for k, r := range ing.discovery {
 				if at, was := r.FirstServedAt(d.versions[i][k]); was && (notifiedAt[i].IsZero() || at.Before(notifiedAt[i])) {
 					notifiedAt[i] = at
 				}
--- a/internal/standin/eds.go
+++ b/internal/standin/eds.go
@@ -16,15 +16,15 @@
 	"cometpond/policy"
 )
 
-// Acknowledgement is what a discovery server saw of an instance: it acknowledged a version.
+// Acknowledgement records that an instance accepted or refused a version of the list.
 type Acknowledgement struct {
 	At      time.Time
 	Node    string
 	Version int
-	Error   string // the instance refused it for this reason
+	Error   string // why the instance refused the version, "" if it accepted
 }
 
-// EDS is a stand-in of an endpoint discovery server, state of the world.
+// EDS is a stand-in for an endpoint discovery server of the state-of-the-world protocol.
 type EDS struct {
 	edsv3.UnimplementedEndpointDiscoveryServiceServer
 	cluster string
@@ -34,12 +34,12 @@
 	mu               sync.Mutex
 	version          int
 	lists            map[int][]policy.Server // by version
-	pushedAt         []time.Time             // when each version came, from 1 on
+	pushedAt         []time.Time             // when each version was set, from version 1
 	acknowledgements []Acknowledgement
 	changed          chan struct{} // closed when there is a new version
 }
 
-// NewEDS serves a cluster's list on an address; port 0 takes a free one.
+// NewEDS serves a cluster's list on an address; port 0 selects a free port.
 func NewEDS(addr, cluster string, list []policy.Server) (*EDS, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return e, nil
 }
 
-// Addr is the address that the server listens on.
+// Addr returns the address that the server listens on.
 func (eds *EDS) Addr() string { return eds.addr }
 
 // Set pushes a list to all instances.
@@ -67,7 +67,7 @@
 	eds.changed = make(chan struct{})
 }
 
-// Pushed returns the lists so far, the first of version 1, with the times at which they were set.
+// Pushed returns all lists set so far, beginning with version 1, and the times at which they were set.
 func (eds *EDS) Pushed() (lists [][]policy.Server, at []time.Time) {
 	eds.mu.Lock()
 	defer eds.mu.Unlock()
@@ -77,7 +77,7 @@
 	return lists, append([]time.Time(nil), eds.pushedAt...)
 }
 
-// Acknowledgements returns the acknowledgements so far, in order.
+// Acknowledgements returns the acknowledgements received so far, in order.
 func (eds *EDS) Acknowledgements() []Acknowledgement {
 	eds.mu.Lock()
 	defer eds.mu.Unlock()
@@ -87,7 +87,7 @@
 // Close ends the server and its streams.
 func (eds *EDS) Close() { eds.server.Stop() }
 
-// StreamEndpoints serves one instance.
+// StreamEndpoints serves the stream of one instance.
 func (eds *EDS) StreamEndpoints(s edsv3.EndpointDiscoveryService_StreamEndpointsServer) error {
 	first, err := s.Recv()
 	if err != nil {
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -27,7 +27,7 @@
 	BornMS int64   `json:"born_ms"`
 }
 
-// PlatformDiscovery stands in for the platform's discovery: HTTP with a long poll.
+// PlatformDiscovery is a stand-in for the platform's discovery server, which is polled over HTTP with long polls.
 type PlatformDiscovery struct {
 	addr       string
 	httpServer *http.Server
@@ -38,25 +38,26 @@
 	changed       chan struct{}
 	requestURIs   []string
 	intercept     func(w http.ResponseWriter, r *http.Request) bool
-	firstServedAt map[uint64]time.Time // when each version was first written
+	firstServedAt map[uint64]time.Time // when each version was first sent to a caller
 }
 
-// NewPlatformDiscovery serves a list at a free address of loopback.
+// NewPlatformDiscovery serves a list on a free loopback address.
 func NewPlatformDiscovery(hosts ...PlatformHost) (*PlatformDiscovery, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("roster: %w", err)
+		return nil, fmt.Errorf("platform discovery stand-in: %w", err)
 	}
-	r := &PlatformDiscovery{addr: ln.Addr().String(), seq: 1, hosts: hosts, changed: make(chan struct{}), firstServedAt: map[uint64]time.Time{}}
+	r := &PlatformDiscovery{addr: ln.Addr().String(), seq: 1, hosts: hosts, changed: make(chan struct{}),
+		firstServedAt: map[uint64]time.Time{}}
 	r.httpServer = &http.Server{Handler: http.HandlerFunc(r.serve)}
 	go func() { _ = r.httpServer.Serve(ln) }() // ends with Close
 	return r, nil
 }
 
-// Addr is where it is reached.
+// Addr returns the address that it listens on.
 func (discovery *PlatformDiscovery) Addr() string { return discovery.addr }
 
-// SetHosts replaces the list, and returns its version.
+// SetHosts replaces the list and returns its version.
 func (discovery *PlatformDiscovery) SetHosts(hosts ...PlatformHost) (version uint64) {
 	discovery.mu.Lock()
 	defer discovery.mu.Unlock()
@@ -67,7 +68,7 @@
 	return discovery.seq
 }
 
-// FirstServedAt is when a list of that version or a newer one was first written to a caller, false if none was.
+// FirstServedAt returns when a list of that version or a newer one was first sent to a caller, false if none was.
 func (discovery *PlatformDiscovery) FirstServedAt(version uint64) (at time.Time, told bool) {
 	discovery.mu.Lock()
 	defer discovery.mu.Unlock()
@@ -79,23 +80,24 @@
 	return at, told
 }
 
-// Intercept has f answer calls for which it returns true; nil for none.
+// Intercept sets a function that sees each call first. If it returns true, it has answered the call. nil: no function.
 func (discovery *PlatformDiscovery) Intercept(f func(w http.ResponseWriter, req *http.Request) bool) {
 	discovery.mu.Lock()
 	defer discovery.mu.Unlock()
 	discovery.intercept = f
 }
 
-// Calls are the calls so far, each as its path with its query.
+// Calls returns the request URIs of the first 1000 calls.
 func (discovery *PlatformDiscovery) Calls() []string {
 	discovery.mu.Lock()
 	defer discovery.mu.Unlock()
 	return append([]string(nil), discovery.requestURIs...)
 }
 
-// Close ends it and its connections.
+// Close stops the server and closes its connections.
 func (discovery *PlatformDiscovery) Close() { _ = discovery.httpServer.Close() }
 
+// serve answers one call. A caller that has the current version waits for a newer one until its timeout.
 func (discovery *PlatformDiscovery) serve(w http.ResponseWriter, req *http.Request) {
 	discovery.mu.Lock()
 	if len(discovery.requestURIs) < 1000 {
@@ -126,30 +128,30 @@
 	_, _ = w.Write(text)
 }
 
-// List is the whole list as it is served.
+// List returns the complete list as JSON, as it is served.
 func (discovery *PlatformDiscovery) List() string {
 	discovery.mu.Lock()
 	defer discovery.mu.Unlock()
 	return string(discovery.encodeList())
 }
 
-// encodeList is List with the lock held.
+// encodeList encodes the list. It is called with mu held.
 func (discovery *PlatformDiscovery) encodeList() []byte {
 	text, err := json.Marshal(map[string]any{"seq": discovery.seq, "whole": true, "hosts": discovery.hosts})
 	if err != nil {
-		panic(err) // the type has no part that can't be written
+		panic(err) // every field of the type can be encoded
 	}
 	return text
 }
 
-// ReceivedCommand is a command that a PlatformBackend took.
+// ReceivedCommand is a command that a PlatformBackend received.
 type ReceivedCommand struct {
 	Conn  int // the connection's number
 	Words []string
 }
 
-// PlatformBackend stands in for a backend of the platform. Each command is answered by Answer, which may wait, write
-// what it likes and close the connection; commands of one connection are answered in turn.
+// PlatformBackend is a stand-in for a backend of the platform. A function answers each command; it may wait, write anything and
+// close the connection. The commands of one connection are answered one after the other.
 type PlatformBackend struct {
 	listener   net.Listener
 	goroutines sync.WaitGroup
@@ -160,7 +162,7 @@
 	total int
 }
 
-// NewPlatformBackend listens at a free address of loopback.
+// NewPlatformBackend starts a backend on a free loopback address.
 func NewPlatformBackend(answer func(c net.Conn, s ReceivedCommand)) (*PlatformBackend, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -172,28 +174,30 @@
 	return b, nil
 }
 
-// ValueReply is the answer that holds the request's id as its value.
+// ValueReply returns a successful reply whose value contains the request's id.
 func ValueReply(s ReceivedCommand) []byte {
 	out := resp.AppendBulk(resp.AppendArray(nil, 3), "value of "+s.Words[2])
 	return append(out, "$-1\r\n$-1\r\n"...)
 }
 
-// Addr is where it is reached.
+// Addr returns the address that it listens on.
 func (backend *PlatformBackend) Addr() string { return backend.listener.Addr().String() }
 
-// OpenConnections and Count tell how many connections stand, and how many there were.
+// OpenConnections returns the number of open connections.
 func (backend *PlatformBackend) OpenConnections() int {
 	backend.mu.Lock()
 	defer backend.mu.Unlock()
 	return len(backend.conns)
 }
+
+// TotalConnections returns the number of connections accepted so far.
 func (backend *PlatformBackend) TotalConnections() int {
 	backend.mu.Lock()
 	defer backend.mu.Unlock()
 	return backend.total
 }
 
-// CloseConnections closes all connections; new ones are taken.
+// CloseConnections closes all connections. New ones are still accepted.
 func (backend *PlatformBackend) CloseConnections() {
 	backend.mu.Lock()
 	defer backend.mu.Unlock()
@@ -202,13 +206,14 @@
 	}
 }
 
-// Close ends it and waits for what runs.
+// Close stops the backend and waits for its goroutines.
 func (backend *PlatformBackend) Close() {
 	backend.listener.Close()
 	backend.CloseConnections()
 	backend.goroutines.Wait()
 }
 
+// accept serves connections until the listener is closed.
 func (backend *PlatformBackend) accept() {
 	defer backend.goroutines.Done()
 	for {
@@ -233,6 +238,7 @@
 	}
 }
 
+// serve answers the commands of one connection. It answers INFO itself.
 func (backend *PlatformBackend) serve(c net.Conn, n int) {
 	var in []byte
 	buf := make([]byte, 16<<10)
@@ -259,7 +265,7 @@
 	}
 }
 
-// PlatformSettings is a settings object of the platform with three classes and two plans.
+// PlatformSettings returns a settings object of the platform with three classes and two plans.
 func PlatformSettings(me, ingresses int) string {
 	return fmt.Sprintf(`{"balancers":%d,"me":%d,"myZone":"room-a","tickS":0.002,
 "familyInfo":{"maxUnits":4,"peerIntake":40},"feedback":{"fields":["svc_ms","cpu_share"],"how":"probe"},
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -8,13 +8,13 @@
 	"sync"
 )
 
-// DatagramRelay stands between instances: each direction has a port of its own, on which datagrams to one instance
-// from another come in. It passes, loses or cuts them.
+// DatagramRelay forwards datagrams between instances. Each ordered pair of instances has its own port. The relay can drop
+// datagrams at random, or all those between the sides of a network partition.
 type DatagramRelay struct {
 	mu           sync.Mutex
 	rng          *rand.Rand
 	loss         float64
-	partition    []int // of each instance; messages pass within a part only
+	partition    []int // side of each instance; datagrams pass only within a side
 	sockets      [][]*net.UDPConn
 	destinations []*net.UDPAddr
 	goroutines   sync.WaitGroup
@@ -50,25 +50,26 @@
 	return r, nil
 }
 
-// Addr is where one instance sends what is meant for another.
+// Addr returns the address to which one instance sends datagrams for another.
 func (relay *DatagramRelay) Addr(from, to int) string {
 	return relay.sockets[from][to].LocalAddr().String()
 }
 
-// SetLoss drops this share of the datagrams, at random.
+// SetLoss sets the share of the datagrams that is dropped at random.
 func (relay *DatagramRelay) SetLoss(share float64) {
 	relay.mu.Lock()
 	defer relay.mu.Unlock()
 	relay.loss = share
 }
 
-// Partition lets datagrams pass only between instances of the same part; all in one part: none is cut.
+// Partition assigns each instance to a side. Datagrams pass only between instances of the same side.
 func (relay *DatagramRelay) Partition(part []int) {
 	relay.mu.Lock()
 	defer relay.mu.Unlock()
 	copy(relay.partition, part)
 }
 
+// forward forwards the datagrams from one instance to another.
 func (relay *DatagramRelay) forward(c *net.UDPConn, from, to int) {
 	defer relay.goroutines.Done()
 	buf := make([]byte, 2048)
@@ -83,12 +84,12 @@
 		pass := relay.partition[from] == relay.partition[to] && relay.rng.Float64() >= relay.loss
 		relay.mu.Unlock()
 		if pass {
-			_, _ = c.WriteToUDP(buf[:n], relay.destinations[to]) // as lost as any
+			_, _ = c.WriteToUDP(buf[:n], relay.destinations[to]) // a failed write is a lost datagram
 		}
 	}
 }
 
-// Close ends the relay and waits for its goroutines.
+// Close stops the relay and waits for its goroutines.
 func (relay *DatagramRelay) Close() {
 	for _, row := range relay.sockets {
 		for _, c := range row {
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -15,89 +15,91 @@
 	"cometpond/internal/resp"
 )
 
-// Job says what a command costs a box.
+// Job describes how a server handles a command and what work it takes.
 type Job struct {
 	Work    float64 // mean seconds of a core of speed 1
-	KeyAt   int     // the word that holds the submission key, 0: none
-	KeyTTLS float64 // for so long repeats of a key are dropped
-	Echo    int     // the word that the answer repeats, 0: none
+	KeyAt   int     // index of the word that holds the submission key, 0: none
+	KeyTTLS float64 // for so long a repeat of a key gets the first reply without running
+	Echo    int     // index of the word that the reply repeats, 0: none
 }
 
-// Arrival is what a box saw of one command.
+// Arrival records one command that reached a server.
 type Arrival struct {
 	At       time.Time
 	Server   string
-	Instance string // as it named itself by CLIENT SETNAME
+	Instance string // name given by CLIENT SETNAME
 	Words    []string
 	Outcome  Outcome
-	Executed bool // it ran here and now: no repeat, not turned away
+	Executed bool // it ran: it was neither a repeat nor rejected
 }
 
-// SubmissionKeys is the submission keys that the boxes of one room have seen.
+// SubmissionKeys holds the submission keys that the servers of one zone have seen.
 type SubmissionKeys struct {
 	mu      sync.Mutex
 	records map[string]keyRecord
 }
 
+// keyRecord is the first request with a submission key, and its reply.
 type keyRecord struct {
 	at     time.Time
 	doneAt time.Time
 	reply  string
 }
 
-// NewSubmissionKeys returns an empty memory.
+// NewSubmissionKeys returns an empty set of keys.
 func NewSubmissionKeys() *SubmissionKeys { return &SubmissionKeys{records: map[string]keyRecord{}} }
 
-// ServerOptions describe a Box.
+// ServerOptions are the options of a Server.
 type ServerOptions struct {
 	Params     Params
-	Jobs       map[string]Job // by command, in upper case
+	Jobs       map[string]Job // by command name in upper case
 	Seed       uint64
-	Keys       *SubmissionKeys        // shared by the boxes of a room
-	OnArrival  func(Arrival)          // called for each command that is a job, one at a time
-	Name       string                 // under which it is listed, "": its address
-	Load       string                 // "answer": load rides on answers; else INFO tells it
-	WorkFactor func(n uint64) float64 // times the usual work that the n-th request costs, nil for none
+	Keys       *SubmissionKeys        // shared by the servers of a zone; nil: not shared
+	OnArrival  func(Arrival)          // called for each command in Jobs, never concurrently for one server
+	Name       string                 // in the list of servers, "": the address
+	Load       string                 // "answer": replies carry the load; else only INFO reports it
+	WorkFactor func(n uint64) float64 // factor on the work of the n-th request, nil: always 1
 }
 
-// Server is a stand-in of a queue box on a TCP address.
+// Server is a stand-in for a back-end server with a queue, on a TCP address.
 type Server struct {
 	addr    string
 	name    string
 	options ServerOptions
 	rng     *rand.Rand
 
-	mu           sync.Mutex // covers all below, and the order of Saw
+	mu           sync.Mutex // guards the fields below and orders the calls of OnArrival
 	model        *Model
 	listener     net.Listener
 	conns        map[net.Conn]struct{}
 	silent       bool
-	mutedCommand string // a command that stays unanswered
+	mutedCommand string // commands of this name get no reply
 	jobCount     uint64
 	startedAt    time.Time
 	goroutines   sync.WaitGroup
 }
 
-// NewServer listens on an address; port 0 takes a free one.
+// NewServer starts a server on an address; port 0 selects a free port.
 func NewServer(addr string, opt ServerOptions) (*Server, error) {
 	if opt.Keys == nil {
 		opt.Keys = NewSubmissionKeys()
 	}
-	b := &Server{addr: addr, options: opt, rng: rand.New(rand.NewPCG(opt.Seed, 1)), model: NewModel(opt.Params),
+	srv := &Server{addr: addr, options: opt, rng: rand.New(rand.NewPCG(opt.Seed, 1)), model: NewModel(opt.Params),
 		conns: map[net.Conn]struct{}{}, startedAt: time.Now()}
-	if err := b.listen(); err != nil {
+	if err := srv.listen(); err != nil {
 		return nil, err
 	}
-	if b.name = opt.Name; b.name == "" {
-		b.name = b.addr
+	if srv.name = opt.Name; srv.name == "" {
+		srv.name = srv.addr
 	}
-	return b, nil
+	return srv, nil
 }
 
+// listen starts to accept connections.
 func (srv *Server) listen() error {
 	ln, err := net.Listen("tcp", srv.addr)
 	if err != nil {
-		return fmt.Errorf("box: %w", err)
+		return fmt.Errorf("server stand-in: %w", err)
 	}
 	srv.listener, srv.addr = ln, ln.Addr().String()
 	srv.goroutines.Add(1)
@@ -105,11 +107,13 @@
 	return nil
 }
 
-// Addr is the address that the box listens on.
+// Addr returns the address that the server listens on.
 func (srv *Server) Addr() string { return srv.addr }
 
+// now returns the time in the model's seconds. It starts at 1, since 0 means long ago there.
 func (srv *Server) now() float64 { return time.Since(srv.startedAt).Seconds() + 1 }
 
+// accept serves the connections of a listener until it is closed.
 func (srv *Server) accept(ln net.Listener) {
 	defer srv.goroutines.Done()
 	for {
@@ -118,7 +122,7 @@
 			return
 		}
 		srv.mu.Lock()
-		if srv.listener != ln { // taken down meanwhile
+		if srv.listener != ln { // Down was called meanwhile
 			srv.mu.Unlock()
 			closeWithReset(c)
 			continue
@@ -132,13 +136,14 @@
 	}
 }
 
-// reply is written at its time, or never while the box is silent.
+// reply is written at its time. It is dropped if it is to be discarded or the server is silent.
 type reply struct {
 	sendAt  time.Time
 	text    []byte
 	discard bool
 }
 
+// closeWithReset closes a connection with a TCP reset.
 func closeWithReset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -146,6 +151,7 @@
 	c.Close()
 }
 
+// read parses and runs the commands of a connection.
 func (srv *Server) read(c net.Conn, replies chan<- reply) {
 	defer srv.goroutines.Done()
 	defer close(replies)
@@ -204,6 +210,7 @@
 	}
 }
 
+// write sends the replies of a connection in order, each at its time.
 func (srv *Server) write(c net.Conn, replies <-chan reply) {
 	defer srv.goroutines.Done()
 	for r := range replies {
@@ -217,12 +224,12 @@
 			continue
 		}
 		if _, err := c.Write(r.text); err != nil && !errors.Is(err, io.EOF) {
-			continue // the reader sees the end and closes replies
+			continue // read notices the closed connection and closes replies
 		}
 	}
 }
 
-// job runs a command.
+// job runs a command that is in Jobs and reports its arrival.
 func (srv *Server) job(instance string, words []string) reply {
 	j, known := srv.options.Jobs[words[0]]
 	if !known || j.KeyAt >= len(words) {
@@ -240,6 +247,7 @@
 	return r
 }
 
+// run offers a command's work to the model and returns the reply. It is called with mu held.
 func (srv *Server) run(at time.Time, j Job, words []string, a *Arrival) reply {
 	mem := srv.options.Keys
 	key := ""
@@ -278,12 +286,14 @@
 	return reply{sendAt: doneAt, text: []byte(text)}
 }
 
+// util returns the utilization as text.
 func (srv *Server) util() string {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
 	return fmt.Sprintf("%.3f", srv.model.Util(srv.now()))
 }
 
+// info returns the reply to INFO.
 func (srv *Server) info() string {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
@@ -291,28 +301,28 @@
 	return fmt.Sprintf("# Load\r\nutil:%.3f\r\nqueue:%d\r\n", srv.model.Util(now), srv.model.Waiting(now))
 }
 
-// Silent has the box read and run, but answer nothing, or answer again.
+// Silent makes the server read and run commands without replying, or reply again.
 func (srv *Server) Silent(on bool) {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
 	srv.silent = on
 }
 
-// Mute leaves one command unanswered, and those behind it on its connection; "" for none.
+// Mute makes the server drop the replies to one command; "" for none.
 func (srv *Server) Mute(command string) {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
 	srv.mutedCommand = command
 }
 
-// Slow makes all work take so many times as long.
+// Slow multiplies the duration of all later work by a factor.
 func (srv *Server) Slow(factor float64) {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
 	srv.model.Slow(factor)
 }
 
-// Down takes the box from the network: connections break and none is taken.
+// Down resets all connections and stops listening.
 func (srv *Server) Down() {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
@@ -325,7 +335,7 @@
 	}
 }
 
-// Up brings the box back, restarted and cold.
+// Up restarts the server, which is cold then.
 func (srv *Server) Up() error {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
@@ -337,13 +347,13 @@
 	return srv.listen()
 }
 
-// Close takes the box down and waits for its goroutines.
+// Close takes the server down and waits for its goroutines.
 func (srv *Server) Close() {
 	srv.Down()
 	srv.goroutines.Wait()
 }
 
-// Jobs are the commands of a settings file, each with a mean work of this share of its class's aim.
+// Jobs returns the commands of a settings file, with a mean work of the given share of their class's target latency.
 func Jobs(c *config.Config, share float64) map[string]Job {
 	jobs := map[string]Job{}
 	for _, k := range c.Commands {
--- a/internal/standin/tcprelay.go
+++ b/internal/standin/tcprelay.go
@@ -9,51 +9,51 @@
 	"time"
 )
 
-// Direction is one way through a Stream.
+// Direction is a direction of a TCPRelay.
 type Direction int
 
 // The directions.
 const (
-	ToServer Direction = iota // from the one that connected
-	ToClient                  // to it
+	ToServer Direction = iota // from the client to the server
+	ToClient                  // from the server to the client
 )
 
-// TCPRelay stands in front of a TCP server and carries its connections, as a network may: in pieces, slowly, with
-// a direction that stops for a while, or broken in the middle of a command or of a reply.
+// TCPRelay forwards connections to a TCP server and simulates network faults: data in small chunks, a low rate, a paused
+// direction, and connections that break in the middle of a command or of a reply.
 type TCPRelay struct {
 	addr, target string
 	goroutines   sync.WaitGroup
 
-	mu       sync.Mutex // covers all below
-	resumed  *sync.Cond // a direction goes on, or a connection ends
+	mu       sync.Mutex // guards the fields below
+	resumed  *sync.Cond // signals that a setting changed or a connection ended
 	rng      *rand.Rand
 	listener net.Listener
 	pairs    map[*pair]struct{}
-	maxChunk int     // bytes of a piece, 0: as they come
-	rate     float64 // bytes a second of one connection and direction, 0: not bounded
+	maxChunk int     // maximum chunk in bytes, 0: no limit
+	rate     float64 // bytes per second of each connection and direction, 0: no limit
 	paused   [2]bool
 }
 
-// pair is one connection and its other half.
+// pair is a client's connection with the matching connection to the server.
 type pair struct {
-	ends  [2]net.Conn // the one that connected, the server
+	ends  [2]net.Conn // to the client, to the server
 	ended bool
 }
 
-// maxReadBytes is the most that one read takes.
+// maxReadBytes is the maximum size of one read.
 const maxReadBytes = 64 << 10
 
-// NewTCPRelay listens on an address for a server; port 0 takes a free one.
+// NewTCPRelay starts a relay to a server on an address; port 0 selects a free port.
 func NewTCPRelay(addr, to string, seed uint64) (*TCPRelay, error) {
 	s := &TCPRelay{addr: addr, target: to, rng: rand.New(rand.NewPCG(seed, 5)), pairs: map[*pair]struct{}{}}
 	s.resumed = sync.NewCond(&s.mu)
 	return s, s.Up()
 }
 
-// Addr is the address that the stream listens on.
+// Addr returns the address that the relay listens on.
 func (relay *TCPRelay) Addr() string { return relay.addr }
 
-// Up listens, again after Down.
+// Up starts to listen, also after Down.
 func (relay *TCPRelay) Up() error {
 	relay.mu.Lock()
 	defer relay.mu.Unlock()
@@ -70,6 +70,7 @@
 	return nil
 }
 
+// accept connects each client to the server until the listener is closed.
 func (relay *TCPRelay) accept(ln net.Listener) {
 	defer relay.goroutines.Done()
 	for {
@@ -84,7 +85,7 @@
 		}
 		p := &pair{ends: [2]net.Conn{c, to}}
 		relay.mu.Lock()
-		if relay.listener != ln { // taken down meanwhile
+		if relay.listener != ln { // Down was called meanwhile
 			relay.mu.Unlock()
 			relay.closePair(p)
 			continue
@@ -97,7 +98,7 @@
 	}
 }
 
-// closePair breaks both halves.
+// closePair resets both connections of a pair.
 func (relay *TCPRelay) closePair(p *pair) {
 	relay.mu.Lock()
 	delete(relay.pairs, p)
@@ -108,6 +109,7 @@
 	closeWithReset(p.ends[1])
 }
 
+// forward copies one direction of a pair until either connection ends.
 func (relay *TCPRelay) forward(p *pair, d Direction) {
 	defer relay.goroutines.Done()
 	defer relay.closePair(p)
@@ -134,7 +136,7 @@
 	}
 }
 
-// readSize is how much is read at once: little where it trickles, so that the sender feels it.
+// readSize returns the maximum size of the next read. It is small at a low rate, so that the sender meets backpressure.
 func (relay *TCPRelay) readSize() int {
 	relay.mu.Lock()
 	defer relay.mu.Unlock()
@@ -144,14 +146,15 @@
 	return maxReadBytes
 }
 
-// nextChunk waits while the direction is held and draws the next piece.
+// nextChunk waits while the direction is paused, and returns the size of the next chunk and the delay before it. ok is false
+// if the connection has ended.
 func (relay *TCPRelay) nextChunk(p *pair, d Direction, have int) (size int, pause time.Duration, ok bool) {
 	relay.mu.Lock()
 	defer relay.mu.Unlock()
 	for relay.paused[d] && !p.ended {
 		relay.resumed.Wait()
 	}
-	if size = have; relay.maxChunk > 0 { // many small ones, a few large
+	if size = have; relay.maxChunk > 0 { // many small chunks, a few large ones
 		size = min(have, 1+int(math.Exp(relay.rng.Float64()*math.Log(float64(relay.maxChunk)))))
 		pause = time.Duration(relay.rng.IntN(100)) * time.Microsecond
 	}
@@ -162,15 +165,16 @@
 	return size, pause, !p.ended
 }
 
-// SetMaxChunk cuts what passes into pieces of 1 to most bytes, 0: as they come.
+// SetMaxChunk splits the data into chunks of 1 to most bytes; 0: no splitting.
 func (relay *TCPRelay) SetMaxChunk(most int) { relay.set(func() { relay.maxChunk = most }) }
 
-// SetRate lets so many bytes a second pass on each connection and direction, 0: all.
+// SetRate limits each connection and direction to a number of bytes per second; 0: no limit.
 func (relay *TCPRelay) SetRate(rate float64) { relay.set(func() { relay.rate = rate }) }
 
-// SetPaused stops a direction, or lets it go on.
+// SetPaused pauses or resumes a direction.
 func (relay *TCPRelay) SetPaused(d Direction, on bool) { relay.set(func() { relay.paused[d] = on }) }
 
+// set changes a setting and wakes the connections that wait.
 func (relay *TCPRelay) set(f func()) {
 	relay.mu.Lock()
 	defer relay.mu.Unlock()
@@ -178,7 +182,7 @@
 	relay.resumed.Broadcast()
 }
 
-// BreakConnections breaks all connections, wherever in a command or a reply they are.
+// BreakConnections resets all connections, even in the middle of a command or of a reply.
 func (relay *TCPRelay) BreakConnections() {
 	relay.mu.Lock()
 	var list []*pair
@@ -191,7 +195,7 @@
 	}
 }
 
-// Down breaks all connections and takes none.
+// Down resets all connections and stops listening.
 func (relay *TCPRelay) Down() {
 	relay.mu.Lock()
 	if relay.listener != nil {
@@ -202,7 +206,7 @@
 	relay.BreakConnections()
 }
 
-// Close takes the stream down and waits for its goroutines.
+// Close takes the relay down and waits for its goroutines.
 func (relay *TCPRelay) Close() {
 	relay.Down()
 	relay.goroutines.Wait()
