--- a/internal/soak/deployment.go
+++ b/internal/soak/deployment.go
@@ -26,9 +26,9 @@
 }
 
 // drawDeployment draws the number of ingresses and the classes' deadlines. Deadlines are short in one run of three.
-func drawDeployment(rng *rand.Rand, crowd bool) deployment {
+func drawDeployment(rng *rand.Rand, idleClients bool) deployment {
 	d := deployment{ingresses: 2 + rng.IntN(2), sockets: 1024}
-	if crowd {
+	if idleClients {
 		d.sockets = 256
 	}
 	scale := 1.0
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -104,9 +104,9 @@
 		defer work.Done()
 		f.record.watchOwnPauses(stopped)
 	}()
-	var crowd []net.Conn
+	var idleConnections []net.Conn
 	if o.IdleClients {
-		crowd = f.openIdleConnections()
+		idleConnections = f.openIdleConnections()
 	}
 	var clients sync.WaitGroup
 	for i := range clientsPerIngress * f.ingresses {
@@ -120,7 +120,7 @@
 	err := f.playFaults()
 	clients.Wait()
 	f.background.Wait()
-	for _, c := range crowd {
+	for _, c := range idleConnections {
 		c.Close()
 	}
 	close(stopped)
--- a/internal/standin/model_test.go
+++ b/internal/standin/model_test.go
@@ -32,14 +32,14 @@
 	if done, _ := m.Offer(1, 0.1); done != 1.2 {
 		t.Errorf("cold work is done at %g, want 1.2", done)
 	}
-	fell := 0
+	crashedAt := 0
 	for i := 1; i < 60 && !m.Crashed(); i++ {
 		m.Offer(1+float64(i)*0.01, 0.1)
-		fell = i
+		crashedAt = i
 	}
 	// Two cores at half their capacity, twice that for a second, and a tolerance of two pieces: 2.2 seconds of work.
-	if !m.Crashed() || fell < 21 || fell > 23 {
-		t.Errorf("crashed %v after %d pieces", m.Crashed(), fell)
+	if !m.Crashed() || crashedAt < 21 || crashedAt > 23 {
+		t.Errorf("crashed %v after %d pieces", m.Crashed(), crashedAt)
 	}
 	if _, r := m.Offer(100, 0.1); r != Crashed {
 		t.Error("a crashed server accepts work")
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -69,15 +69,15 @@
 }
 
 // FirstServedAt returns when a list of that version or a newer one was first sent to a caller, false if none was.
-func (discovery *PlatformDiscovery) FirstServedAt(version uint64) (at time.Time, told bool) {
+func (discovery *PlatformDiscovery) FirstServedAt(version uint64) (at time.Time, served bool) {
 	discovery.mu.Lock()
 	defer discovery.mu.Unlock()
 	for v, t := range discovery.firstServedAt {
-		if v >= version && (!told || t.Before(at)) {
-			at, told = t, true
+		if v >= version && (!served || t.Before(at)) {
+			at, served = t, true
 		}
 	}
-	return at, told
+	return at, served
 }
 
 // Intercept sets a function that sees each call first. If it returns true, it has answered the call. nil: no function.
