--- a/internal/front/linger_test.go
+++ b/internal/front/linger_test.go
@@ -65,7 +65,7 @@
 	inLoop(t, srv, func(l *loop, c *conn) {
 		k.write(say)
 		lies(c)
-		c.guest.LastS = -1e9 // idle for years
+		c.guest.LastUsedAtS = -1e9 // idle for years
 		l.sweep()
 	})
 	if line, err := k.r.ReadString('\n'); line != "+said\r\n" {
@@ -81,7 +81,7 @@
 	k := visitor(t, addr)
 	k.says("*1\r\n$2\r\nGO\r\n", "+did GO\r\n")
 	inLoop(t, srv, func(l *loop, c *conn) {
-		c.guest.LastS = -1e9
+		c.guest.LastUsedAtS = -1e9
 		l.sweep()
 		k.write("*1\r\n$2\r\nGO\r\n")
 		lies(c)
@@ -91,13 +91,13 @@
 		t.Errorf("%d requests asked, want the first alone", n)
 	}
 	k.Close()
-	wait(t, func() bool { return srv.Open() == 0 && srv.lingering.Load() == 0 })
+	wait(t, func() bool { return srv.OpenConnections() == 0 && srv.lingering.Load() == 0 })
 }
 
 // What can't be read is answered with an error, and far more than one read brings lies behind it: the client gets the
 // whole error and an end.
 func TestErrorWithInputBehindIt(t *testing.T) {
-	_, _, addr := startWith(t, nil, func(o *Options) { o.Commands, o.Loops = echo{}, 1 })
+	_, _, addr := startWith(t, nil, func(o *Options) { o.Handler, o.Loops = echo{}, 1 })
 	k := visitor(t, addr)
 	k.write("*9\r\n" + strings.Repeat("x", 100<<10))
 	line, err := k.r.ReadString('\n')
@@ -109,7 +109,7 @@
 
 // A client that goes on for ever is cut.
 func TestLingeringIsBounded(t *testing.T) {
-	srv, _, addr := startWith(t, nil, func(o *Options) { o.Commands, o.Loops = echo{}, 1 })
+	srv, _, addr := startWith(t, nil, func(o *Options) { o.Handler, o.Loops = echo{}, 1 })
 	k := visitor(t, addr)
 	k.write("*9\r\n")
 	var err error
@@ -125,16 +125,16 @@
 		t.Errorf("%q, %v", line, err)
 	}
 	quiet.finishes("")
-	wait(t, func() bool { return srv.Open() == 0 }) // though it never ends by itself
+	wait(t, func() bool { return srv.OpenConnections() == 0 }) // though it never ends by itself
 }
 
 // The second of two commands is never finished: the first still gets its answer before the connection is cut.
 func TestUnfinishedCommandBehindAnOpenOne(t *testing.T) {
-	srv, s, addr := startWith(t, func(f *config.Front) { f.Partial = 50 * time.Millisecond }, func(o *Options) { o.Commands, o.Loops = echo{}, 1 })
+	srv, s, addr := startWith(t, func(f *config.FrontLimits) { f.PartialTimeout = 50 * time.Millisecond }, func(o *Options) { o.Handler, o.Loops = echo{}, 1 })
 	k := visitor(t, addr)
 	k.write(hold + say[:5])
 	call := <-s.held
-	wait(t, func() bool { return srv.Counts().Cut == 1 })
+	wait(t, func() bool { return srv.Counts().Terminated == 1 })
 	give(call, core.Answer{Payload: []byte("+held\r\n")})
 	k.finishes("+held\r\n")
 }
@@ -142,13 +142,13 @@
 // An instance that leaves: what comes on a new connection, or lies in the socket of an idle one, is answered, and each
 // ends after its answer; one that brings half a command and no more ends without a reset.
 func TestRetireCrossesRequests(t *testing.T) {
-	srv, s, addr := startWith(t, nil, func(o *Options) { o.Commands, o.Loops = echo{}, 1 })
+	srv, s, addr := startWith(t, nil, func(o *Options) { o.Handler, o.Loops = echo{}, 1 })
 	idle := visitor(t, addr)
 	idle.says(say, "+said\r\n")
 	inLoop(t, srv, func(_ *loop, c *conn) {
 		idle.write(say)
 		lies(c)
-		srv.Retire()
+		srv.CloseWhenIdle()
 	})
 	idle.finishes("+said\r\n")
 	late := visitor(t, addr)
@@ -173,16 +173,16 @@
 // A client that leaves while it is read no further, with more of its bytes unread before its end: all that it has asked is
 // given up, and nothing behind that is asked.
 func TestLeavesWhileParked(t *testing.T) {
-	srv, s, addr := startWith(t, func(f *config.Front) { f.Pipeline = 10 }, func(o *Options) { o.Commands, o.Loops, o.Leavers = echo{}, 1, true })
+	srv, s, addr := startWith(t, func(f *config.FrontLimits) { f.MaxPipelined = 10 }, func(o *Options) { o.Handler, o.Loops, o.CloseOnClientEOF = echo{}, 1, true })
 	for _, leave := range []func(k *raw) error{(*raw).Close, func(k *raw) error { return k.Conn.(*net.TCPConn).CloseWrite() }} {
-		parked, asked, left := srv.Counts().Parked, s.seen(), s.left()
+		parked, asked, left := srv.Counts().ReadsPaused, s.seen(), s.left()
 		k := visitor(t, addr)
 		k.write(strings.Repeat(hold, 10) + strings.Repeat(say, 2000)) // as much as the sockets take: an end behind more than that is not on the wire
-		wait(t, func() bool { return srv.Counts().Parked == parked+1 })
+		wait(t, func() bool { return srv.Counts().ReadsPaused == parked+1 })
 		if err := leave(k); err != nil {
 			t.Fatal(err)
 		}
-		wait(t, func() bool { return s.left() == left+10 && srv.Open() == 0 })
+		wait(t, func() bool { return s.left() == left+10 && srv.OpenConnections() == 0 })
 		if n := s.seen() - asked; n != 10 {
 			t.Errorf("%d requests asked, want 10", n)
 		}
@@ -193,7 +193,7 @@
 func TestClientGoneBeforeItsRequestIsRead(t *testing.T) {
 	for _, leave := range []func(k *raw) error{(*raw).Close, func(k *raw) error { return k.Conn.(*net.TCPConn).CloseWrite() }} {
 		for _, stands := range []bool{false, true} {
-			srv, s, addr := startWith(t, nil, func(o *Options) { o.Commands, o.Loops, o.Leavers = echo{}, 1, true })
+			srv, s, addr := startWith(t, nil, func(o *Options) { o.Handler, o.Loops, o.CloseOnClientEOF = echo{}, 1, true })
 			k := visitor(t, addr)
 			if stands {
 				k.says(say, "+said\r\n")
@@ -230,7 +230,7 @@
 func TestClientGoneWhileOthersAreServed(t *testing.T) {
 	entered, release := make(chan struct{}), make(chan struct{})
 	srv, s, addr := startWith(t, nil, func(o *Options) {
-		o.Commands, o.Loops, o.Leavers = &slowWorld{entered: entered, release: release}, 1, true
+		o.Handler, o.Loops, o.CloseOnClientEOF = &slowWorld{entered: entered, release: release}, 1, true
 	})
 	busy, leaver := visitor(t, addr), visitor(t, addr)
 	busy.says(say, "+said\r\n")
@@ -251,7 +251,7 @@
 	leaver.Close()
 	time.Sleep(50 * time.Millisecond)
 	close(release)
-	wait(t, func() bool { return srv.Open() == 1 })
+	wait(t, func() bool { return srv.OpenConnections() == 1 })
 	if n := s.seen(); n != 0 {
 		t.Errorf("%d requests asked for a client that had gone", n)
 	}
@@ -263,14 +263,14 @@
 	entered, release chan struct{}
 }
 
-func (w *slowWorld) Command(c Conn, args [][]byte) {
+func (w *slowWorld) HandleCommand(c Conn, args [][]byte) {
 	if string(args[0]) == "SLOW" {
 		close(w.entered)
 		<-w.release
-		c.Say([]byte("+slow\r\n"))
+		c.Reply([]byte("+slow\r\n"))
 		return
 	}
-	w.echo.Command(c, args)
+	w.echo.HandleCommand(c, args)
 }
 
 // A full house that leaves: requests cross the ends of all its connections at once, and none is reset.
@@ -283,7 +283,7 @@
 		k.says(say, "+said\r\n")
 		house = append(house, k)
 	}
-	srv.Retire()
+	srv.CloseWhenIdle()
 	for _, k := range house { // the end is there, and the request crosses it
 		if _, err := k.r.Peek(1); err != io.EOF {
 			t.Errorf("%v, want an end", err)
@@ -300,5 +300,5 @@
 	for _, k := range house {
 		k.Close()
 	}
-	wait(t, func() bool { return srv.Open() == 0 })
+	wait(t, func() bool { return srv.OpenConnections() == 0 })
 }
--- a/internal/front/output.go
+++ b/internal/front/output.go
@@ -36,12 +36,12 @@
 			k.leftSince = time.Now()
 			k.out = k.out[:copy(k.out, k.out[n:])]
 		}
-		if k.congested = len(k.out) > min(congestMost, l.s.opt.Bounds.Output/2); len(k.out) > 0 {
+		if k.congested = len(k.out) > min(congestMost, l.s.opt.Limits.MaxUnreadBytes/2); len(k.out) > 0 {
 			l.behind = append(l.behind, k)
 		} else {
 			k.out = nil
 		}
-		if err != nil || len(k.out) > 0 && time.Since(k.leftSince) > l.s.opt.Bounds.Partial {
+		if err != nil || len(k.out) > 0 && time.Since(k.leftSince) > l.s.opt.Limits.PartialTimeout {
 			l.s.cut.Add(1)
 			if k.endError = err; err != nil {
 				k.because(writeFailed)
@@ -99,7 +99,7 @@
 			l.fellBehind(k)
 		}
 		k.out = append(k.out, b...)
-		k.congested = len(k.out) > min(congestMost, l.s.opt.Bounds.Output/2)
+		k.congested = len(k.out) > min(congestMost, l.s.opt.Limits.MaxUnreadBytes/2)
 	}
 	l.buf = l.buf[:0]
 	if cap(l.buf) > 1<<20 {
@@ -112,7 +112,7 @@
 func (k *conn) pump() eventloop.Action {
 	l := k.loop
 	if k.head < len(k.queue) && k.queue[k.head].done {
-		k.guest.LastS = seconds()
+		k.guest.LastUsedAtS = seconds()
 	}
 	for k.head < len(k.queue) && k.queue[k.head].done && !k.congested {
 		l.buf = k.append(l.buf, k.queue[k.head])
@@ -137,7 +137,7 @@
 	switch {
 	case k.quit && k.waiting() == 0 && len(k.out) == 0:
 		return l.finish(k, asked)
-	case l.s.retiring.Load() && k.guest.Asked > 0 && k.idle() && !k.c.HasUnread():
+	case l.s.retiring.Load() && k.guest.Commands > 0 && k.idle() && !k.c.HasUnread():
 		return l.finish(k, shuttingDown)
 	}
 	return eventloop.None
@@ -149,20 +149,20 @@
 	switch {
 	case p.ready != nil:
 		return append(b, p.ready...)
-	case k.loop.s.opt.Commands != nil:
-		return k.loop.s.opt.Commands.Answer(b, &p.call)
+	case k.loop.s.opt.Handler != nil:
+		return k.loop.s.opt.Handler.AppendReply(b, &p.call)
 	case a.Kind == core.Served && k.version == 2 && len(a.Payload) > 0 && !old(a.Payload[0]):
 		return resp.AppendDowngraded(b, a.Payload, k.loop.s.lim)
 	case a.Kind == core.Served:
 		return append(b, a.Payload...)
-	case p.call.Limit && (a.Kind == core.Admitted || a.Kind == core.Refused && a.Reason == core.NoRoom):
+	case p.call.QuotaOnly && (a.Kind == core.Admitted || a.Kind == core.Refused && a.Reason == core.NoCapacity):
 		return appendThrottle(b, a, p.call.Units)
-	case a.Kind == core.Refused && a.RetryS > 0:
-		return resp.AppendError(b, "REFUSED retry in "+strconv.FormatFloat(a.RetryS, 'f', 3, 64)+" s: "+a.Why)
+	case a.Kind == core.Refused && a.RetryAfterS > 0:
+		return resp.AppendError(b, "REFUSED retry in "+strconv.FormatFloat(a.RetryAfterS, 'f', 3, 64)+" s: "+a.Detail)
 	case a.Kind == core.Refused:
-		return resp.AppendError(b, "REFUSED "+a.Why)
+		return resp.AppendError(b, "REFUSED "+a.Detail)
 	}
-	return resp.AppendError(b, "FAILED "+a.Why)
+	return resp.AppendError(b, "FAILED "+a.Detail)
 }
 
 // old tells whether a reply's type is one that version 2 has, and not an aggregate that may hold others.
@@ -173,13 +173,13 @@
 func appendThrottle(b []byte, a *core.Answer, units float64) []byte {
 	limited, retry := int64(0), int64(-1)
 	if a.Kind == core.Refused && units > 0 {
-		limited, retry = 1, max(1, int64(math.Ceil(a.Quota.RetryS)))
+		limited, retry = 1, max(1, int64(math.Ceil(a.Quota.RetryAfterS)))
 	}
 	whole := func(x float64) int64 { return int64(min(math.Floor(x+1e-9), math.MaxInt32)) }
-	b = resp.AppendArray(b, 5)
+	b = resp.AppendArrayHeader(b, 5)
 	b = resp.AppendInt(b, limited)
 	b = resp.AppendInt(b, whole(a.Quota.Burst))
-	b = resp.AppendInt(b, whole(a.Quota.Room))
+	b = resp.AppendInt(b, whole(a.Quota.Remaining))
 	b = resp.AppendInt(b, retry)
 	return resp.AppendInt(b, int64(math.Ceil(max(a.Quota.ResetS, 0)-1e-9)))
 }
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -25,57 +25,57 @@
 // Core is what a front needs of the core.
 type Core interface {
 	Submit(calls []*core.Call) int
-	Gone(calls []*core.Call)
+	Disconnected(calls []*core.Call)
 }
 
-// Commands is what the words of clients mean, and how rulings read to them. Its methods are called on the event
+// CommandHandler is what the words of clients mean, and how rulings read to them. Its methods are called on the event
 // loops, several at once, and must not block.
-type Commands interface {
+type CommandHandler interface {
 	// Command takes one command, one word at least. The words last until it returns. It calls Ask or Say once.
-	Command(c Conn, args [][]byte)
+	HandleCommand(c Conn, args [][]byte)
 	// Answer appends the final answer to a call that was asked.
-	Answer(dst []byte, c *core.Call) []byte
+	AppendReply(dst []byte, c *core.Call) []byte
 	// Limits bound a command. What is beyond them ends the connection with an error.
 	Limits() resp.Limits
 }
 
 // Conn is a client's connection as Commands see it.
 type Conn interface {
-	Ask(c core.Call)   // has the core rule on the command
-	Say(answer []byte) // answers it at once, or behind those that wait; the slice is copied
+	Submit(c core.Call)  // has the core rule on the command
+	Reply(answer []byte) // answers it at once, or behind those that wait; the slice is copied
 }
 
 // Options are the settings of a Server.
 type Options struct {
 	Listen string // host:port; port 0 takes a free one
 	Loops  int    // event loops, 1 at least
-	Bounds config.Front
+	Limits config.FrontLimits
 	// Commands are those of a world without logins, in which each command is an array of one word at least. Nil:
 	// this gateway's own, with the clients of Book.
-	Commands Commands
-	Book     *access.Book
+	Handler  CommandHandler
+	Registry *access.Registry
 	// Leavers has a client that ends its connection, or its sending, count as gone at once, also while it is read no
 	// further: what it has asked is given up, and what it sent before its end is not read. Otherwise that is read first.
-	Leavers bool
-	Crowd   crowd.Limits  // when connections without a request give way; the zero value keeps them
-	Info    func() string // the text of INFO
+	CloseOnClientEOF bool
+	IdleLimits       crowd.Limits  // when connections without a request give way; the zero value keeps them
+	Info             func() string // the text of INFO
 	// Age tells how long ago, at most, what is read now from a connection may have been sent, and the time of
 	// this reading; readAt is the time of its last one, and parked tells that it was not read since on purpose.
 	// Nil: nothing is old.
-	Age func(readAt float64, parked bool) (ageS, now float64)
+	InputAge func(readAt float64, parked bool) (ageS, now float64)
 	// Read returns what is used of the bytes that have come in at once; nil: all of them. The rigs put the fault of losing
 	// some back.
-	Read func(data []byte) []byte
-	Log  zerolog.Logger
+	FilterInput func(data []byte) []byte
+	Log         zerolog.Logger
 }
 
 // Counts are totals since the start.
 type Counts struct {
-	Opened, Open, Commands, Cut, Denied uint64
-	Parked                              uint64 // times that a connection was left unread for a while
-	Evicted                             uint64 // connections closed for the sake of new ones
-	Abandoned                           uint64 // requests whose connection ended here before their answer
-	Input                               intake.Counts
+	Opened, Open, Commands, Terminated, LoginsDenied uint64
+	ReadsPaused                                      uint64 // times that a connection was left unread for a while
+	Evicted                                          uint64 // connections closed for the sake of new ones
+	Abandoned                                        uint64 // requests whose connection ended here before their answer
+	Input                                            intake.Counts
 }
 
 // Server is the front on its event loops.
@@ -109,14 +109,14 @@
 	s := &Server{opt: opt, core: c, stop: make(chan struct{}), loops: map[*eventloop.Loop]*loop{}, asking: map[uint64]*conn{}}
 	s.boundByDescriptors()
 	s.lim = resp.DefaultLimits
-	s.lim.Bulk, s.lim.Whole = opt.Bounds.Bulk, opt.Bounds.Bulk+aheadMost
-	if opt.Commands != nil {
-		s.lim = opt.Commands.Limits()
+	s.lim.Bulk, s.lim.Command = opt.Limits.MaxArgumentBytes, opt.Limits.MaxArgumentBytes+aheadMost
+	if opt.Handler != nil {
+		s.lim = opt.Handler.Limits()
 	}
-	s.pool = intake.New(intake.Limits{Free: chunkMost, Total: max(opt.Bounds.Input, opt.Bounds.Bulk), Reserve: s.lim.Whole,
-		Strangers: max(opt.Bounds.Input/4, strangerMost), PassS: passAfter})
+	s.pool = intake.New(intake.Limits{FreeBytes: chunkMost, TotalBytes: max(opt.Limits.MaxInputBytes, opt.Limits.MaxArgumentBytes), ReserveBytes: s.lim.Command,
+		UnauthenticatedBytes: max(opt.Limits.MaxInputBytes/4, strangerMost), MaxOvertakeS: passAfter})
 	var err error
-	if s.group, err = eventloop.New(s, eventloop.Options{Loops: opt.Loops, ReadBuffer: chunkMost, CloseOnPeerShutdown: opt.Leavers, Log: opt.Log}); err != nil {
+	if s.group, err = eventloop.New(s, eventloop.Options{Loops: opt.Loops, ReadBuffer: chunkMost, CloseOnPeerShutdown: opt.CloseOnClientEOF, Log: opt.Log}); err != nil {
 		return nil, fmt.Errorf("front: %w", err)
 	}
 	for _, el := range s.group.Loops() {
@@ -135,36 +135,36 @@
 
 // boundByDescriptors lowers the bound on connections to what the system's limit of descriptors leaves room for: servers,
 // discovery and other instances need some as well.
-func (s *Server) boundByDescriptors() {
+func (srv *Server) boundByDescriptors() {
 	var files unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &files); err != nil || files.Cur >= 1<<30 {
 		return
 	}
-	if most := max(1, int(files.Cur)*3/4-64); s.opt.Bounds.Connections > most {
-		s.opt.Log.Warn().Int("connections", most).Uint64("descriptors", files.Cur).Msg("fewer connections than set: raise ulimit -n")
-		s.opt.Bounds.Connections = most
+	if most := max(1, int(files.Cur)*3/4-64); srv.opt.Limits.MaxConnections > most {
+		srv.opt.Log.Warn().Int("connections", most).Uint64("descriptors", files.Cur).Msg("fewer connections than set: raise ulimit -n")
+		srv.opt.Limits.MaxConnections = most
 	}
 }
 
 // Addr is the address that the server listens on.
-func (s *Server) Addr() net.Addr { return s.group.Addr() }
+func (srv *Server) Addr() net.Addr { return srv.group.Addr() }
 
-// Drain turns new connections away; those that stand go on.
-func (s *Server) Drain() { s.stopping.Store(true) }
+// RejectNewConnections turns new connections away; those that stand go on.
+func (srv *Server) RejectNewConnections() { srv.stopping.Store(true) }
 
-// Retire ends each connection as soon as it has nothing open, new ones after their first answer.
-func (s *Server) Retire() {
-	if s.retiring.CompareAndSwap(false, true) {
-		s.look()
+// CloseWhenIdle ends each connection as soon as it has nothing open, new ones after their first answer.
+func (srv *Server) CloseWhenIdle() {
+	if srv.retiring.CompareAndSwap(false, true) {
+		srv.look()
 	}
 }
 
-// Open is the number of connections that stand.
-func (s *Server) Open() int { return int(s.open.Load()) }
+// OpenConnections is the number of connections that stand.
+func (srv *Server) OpenConnections() int { return int(srv.open.Load()) }
 
 // Flush returns once every answer handed over so far has been written or lies in a socket's buffer.
-func (s *Server) Flush(ctx context.Context) {
-	for _, l := range s.loops {
+func (srv *Server) Flush(ctx context.Context) {
+	for _, l := range srv.loops {
 		for behind := 1; behind > 0; {
 			done := make(chan int, 1)
 			if l.el.Execute(func() { done <- len(l.behind) }) != nil {
@@ -183,12 +183,12 @@
 }
 
 // Stop ends all connections and returns when the loops have ended.
-func (s *Server) Stop(ctx context.Context) {
-	s.Drain()
-	s.part(ctx)
-	close(s.stop)
-	s.sweeper.Wait()
-	s.group.Stop()
+func (srv *Server) Stop(ctx context.Context) {
+	srv.RejectNewConnections()
+	srv.part(ctx)
+	close(srv.stop)
+	srv.sweeper.Wait()
+	srv.group.Stop()
 }
 
 func seconds() float64 { return time.Since(processStart).Seconds() }
@@ -196,31 +196,31 @@
 var processStart = time.Now()
 
 // Counts returns the totals so far.
-func (s *Server) Counts() Counts {
-	s.poolMu.Lock()
-	input := s.pool.Counts()
-	s.poolMu.Unlock()
-	return Counts{s.opened.Load(), s.open.Load(), s.commands.Load(), s.cut.Load(), s.denied.Load(), s.parks.Load(), s.evicted.Load(), s.abandoned.Load(), input}
+func (srv *Server) Counts() Counts {
+	srv.poolMu.Lock()
+	input := srv.pool.Counts()
+	srv.poolMu.Unlock()
+	return Counts{srv.opened.Load(), srv.open.Load(), srv.commands.Load(), srv.cut.Load(), srv.denied.Load(), srv.parks.Load(), srv.evicted.Load(), srv.abandoned.Load(), input}
 }
 
 // OnOpen takes a new connection in.
-func (s *Server) OnOpen(c *eventloop.Conn) eventloop.Action {
-	s.opened.Add(1)
-	open := s.open.Add(1)
-	l := s.loops[c.Loop()]
-	if most := s.opt.Bounds.Connections - s.opt.Bounds.Connections/lingerShare; int64(open)-s.lingering.Load() > int64(most) && !l.evict() {
-		s.cut.Add(1)
+func (srv *Server) OnOpen(c *eventloop.Conn) eventloop.Action {
+	srv.opened.Add(1)
+	open := srv.open.Add(1)
+	l := srv.loops[c.Loop()]
+	if most := srv.opt.Limits.MaxConnections - srv.opt.Limits.MaxConnections/lingerShare; int64(open)-srv.lingering.Load() > int64(most) && !l.evict() {
+		srv.cut.Add(1)
 		_, _ = c.Send([]byte("-ERR max number of clients reached\r\n")) // as much as it takes
 		return eventloop.Close                                          // unread: there is no descriptor to keep it with
 	}
-	k := &conn{c: c, loop: l, id: s.nextID.Add(1), version: 2, since: time.Now()}
-	if s.opt.Commands != nil {
+	k := &conn{c: c, loop: l, id: srv.nextID.Add(1), version: 2, since: time.Now()}
+	if srv.opt.Handler != nil {
 		k.client = &anyone
 	}
-	k.guest.Since = seconds()
+	k.guest.OpenedAtS = seconds()
 	l.conns[k] = struct{}{}
 	c.SetContext(k)
-	if s.stopping.Load() && s.opt.Commands == nil {
+	if srv.stopping.Load() && srv.opt.Handler == nil {
 		k.quit = true
 		k.because(shuttingDown)
 		k.say(func(b []byte) []byte { return resp.AppendError(b, "ERR this instance is shutting down") })
@@ -233,10 +233,10 @@
 }
 
 // OnClose forgets a connection.
-func (s *Server) OnClose(c *eventloop.Conn, err error) {
+func (srv *Server) OnClose(c *eventloop.Conn, err error) {
 	k, ok := c.Context().(*conn)
 	if !ok { // it was turned away
-		s.open.Add(^uint64(0))
+		srv.open.Add(^uint64(0))
 		return
 	}
 	k.ended(err)
@@ -244,13 +244,13 @@
 }
 
 // OnData takes what has come in.
-func (s *Server) OnData(c *eventloop.Conn, data []byte) eventloop.Action {
+func (srv *Server) OnData(c *eventloop.Conn, data []byte) eventloop.Action {
 	k, ok := c.Context().(*conn)
 	if !ok {
 		return eventloop.Close
 	}
-	if s.opt.Read != nil {
-		data = s.opt.Read(data)
+	if srv.opt.FilterInput != nil {
+		data = srv.opt.FilterInput(data)
 	}
 	k.looked(false)
 	l := k.loop
@@ -266,29 +266,29 @@
 }
 
 // sweep looks once a second for connections that take up room and do nothing with it.
-func (s *Server) sweep() {
-	defer s.sweeper.Done()
-	tick := time.NewTicker(min(time.Second, max(s.opt.Bounds.Partial/8, 10*time.Millisecond)))
+func (srv *Server) sweep() {
+	defer srv.sweeper.Done()
+	tick := time.NewTicker(min(time.Second, max(srv.opt.Limits.PartialTimeout/8, 10*time.Millisecond)))
 	defer tick.Stop()
 	for {
 		select {
-		case <-s.stop:
+		case <-srv.stop:
 			return
 		case <-tick.C:
 		}
-		s.poolMu.Lock()
-		s.granted(s.pool.Tick(seconds()))
-		s.poolMu.Unlock()
-		s.look()
+		srv.poolMu.Lock()
+		srv.granted(srv.pool.Tick(seconds()))
+		srv.poolMu.Unlock()
+		srv.look()
 	}
 }
 
 // look has all loops look for connections that are to end.
-func (s *Server) look() { s.each((*loop).sweep) }
+func (srv *Server) look() { srv.each((*loop).sweep) }
 
 // each runs f in every event loop; it does not wait.
-func (s *Server) each(f func(l *loop)) {
-	for el, l := range s.loops {
+func (srv *Server) each(f func(l *loop)) {
+	for el, l := range srv.loops {
 		_ = el.Execute(func() { f(l) }) // an error means that the loops end, and then nothing is left to do
 	}
 }
--- a/internal/front/wire_test.go
+++ b/internal/front/wire_test.go
@@ -119,7 +119,7 @@
 // Arguments up to the bound come through whole, however they are cut, with commands before and behind them.
 func TestLargeArguments(t *testing.T) {
 	const most = 512 << 10
-	_, s, addr := start(t, func(b *config.Front) { b.Bulk = most; b.Output = 4 << 20 })
+	_, s, addr := start(t, func(b *config.FrontLimits) { b.MaxArgumentBytes = most; b.MaxUnreadBytes = 4 << 20 })
 	for _, size := range []int{0, 1, 10_000, 65_536, 100_000, 400_000, most - 1, most} {
 		k := connect(t, addr, true)
 		arg := strings.Repeat("x", size/2) + strings.Repeat("\n", size-size/2)
@@ -148,7 +148,7 @@
 
 // Whatever the commands and wherever they are cut, the answers are those of the whole.
 func TestAnyCutting(t *testing.T) {
-	_, _, addr := start(t, func(b *config.Front) { b.Pipeline = 7 })
+	_, _, addr := start(t, func(b *config.FrontLimits) { b.MaxPipelined = 7 })
 	rapid.Check(t, func(t *rapid.T) {
 		words := rapid.SliceOfN(rapid.SampledFrom([]string{"PING", "ECHO", "JOB.STATUS", "SIGN.SUBMIT", "NOPE", "", "x y", "\r\n", "$1",
 			strings.Repeat("long", 900)}), 1, 4)
@@ -179,7 +179,7 @@
 	age, looks := 0.0, 0
 	set := func(x float64) { mu.Lock(); age = x; mu.Unlock() }
 	_, s, addr := startWith(t, nil, func(o *Options) {
-		o.Age = func(float64, bool) (float64, float64) {
+		o.InputAge = func(float64, bool) (float64, float64) {
 			mu.Lock()
 			defer mu.Unlock()
 			looks++
--- a/internal/instance/fronts_test.go
+++ b/internal/instance/fronts_test.go
@@ -150,7 +150,7 @@
 	for b.Loop() {
 		list := boxesFor(b, 0.000001)
 		cfg := wide(b, 64, list)
-		cfg.GRPC = &config.GRPC{Listen: "127.0.0.1:0", Connections: 1000, Streams: 1000, Ahead: 64, Message: 1 << 20}
+		cfg.GRPC = &config.GRPC{Listen: "127.0.0.1:0", MaxConnections: 1000, MaxStreams: 1000, MaxStreamRequests: 64, MaxMessageBytes: 1 << 20}
 		in, _ := run(b, cfg)
 		work := pb.NewGatewayClient(dialRPC(b, in))
 		direct := latency(b, func(i int) (string, string) { return list[i%3], "" })
@@ -189,8 +189,8 @@
 func BenchmarkQuestions(b *testing.B) {
 	for b.Loop() {
 		cfg := wide(b, 64, []string{"127.0.0.1:1"})
-		cfg.GRPC = &config.GRPC{Listen: "127.0.0.1:0", Connections: 1000, Streams: 1000, Ahead: 64, Message: 1 << 20,
-			Domains: []config.Domain{{Name: "edge", Secret: config.HashSecret("e"), Descriptors: []config.Descriptor{{Customer: "client", Units: 1}}}}}
+		cfg.GRPC = &config.GRPC{Listen: "127.0.0.1:0", MaxConnections: 1000, MaxStreams: 1000, MaxStreamRequests: 64, MaxMessageBytes: 1 << 20,
+			Domains: []config.Domain{{Name: "edge", SecretHash: config.HashSecret("e"), Descriptors: []config.Descriptor{{CustomerKey: "client", Units: 1}}}}}
 		in, addr := run(b, cfg)
 		conn := dialRPC(b, in)
 		limits, health := rlsv3.NewRateLimitServiceClient(conn), healthv1.NewHealthClient(conn)
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -35,11 +35,11 @@
 
 // Hooks wrap parts where they are not nil.
 type Hooks struct {
-	Settings func(*policy.Settings)
-	Backend  func(core.Backend) core.Backend
-	Lists    func(discovery.Sink) discovery.Sink
-	Calls    func(front.Core) front.Core
-	Read     func(data []byte) []byte
+	Settings    func(*policy.Settings)
+	Backend     func(core.Backend) core.Backend
+	ServerLists func(discovery.Sink) discovery.Sink
+	Calls       func(front.Core) front.Core
+	FilterInput func(data []byte) []byte
 }
 
 // Instance is a running gateway.
@@ -47,9 +47,9 @@
 	cfg    *config.Config
 	log    zerolog.Logger
 	loop   *core.Loop
-	stalls *core.Stalls
+	stalls *core.PauseMonitor
 	pool   *backend.Pool
-	peers  *peer.Link
+	peers  *peer.Transport
 	disc   *discovery.Client
 	front  *front.Server
 	rpc    *rpc.Server
@@ -77,14 +77,14 @@
 	if i.loop, err = core.NewLoop(s, seed, clock); err != nil {
 		return nil, err
 	}
-	i.stalls = core.NewStalls(clock)
-	loops := cfg.Loops
+	i.stalls = core.NewPauseMonitor(clock)
+	loops := cfg.EventLoops
 	if loops == 0 {
 		loops = max(1, min(4, runtime.NumCPU()/2))
 	}
 	i.pool, err = backend.New(i.loop, backend.Options{
-		Dialect:     backend.RESP{Name: fmt.Sprintf("cometpond-%d", cfg.Me), LoadInReplies: cfg.Backend.Load == "answer"},
-		Connections: cfg.Backend.Connections, Pipeline: cfg.Backend.Pipeline, ConnectTimeout: cfg.Backend.Connect,
+		Dialect:     backend.RESP{Name: fmt.Sprintf("cometpond-%d", cfg.Self), LoadInReplies: cfg.Backend.LoadSource == "answer"},
+		Connections: cfg.Backend.MaxConnections, Pipeline: cfg.Backend.MaxPipelined, ConnectTimeout: cfg.Backend.ConnectTimeout,
 		Loops: max(1, loops/2), Log: opt.Log.With().Str("part", "backend").Logger()})
 	if err != nil {
 		return nil, err
@@ -100,7 +100,7 @@
 	i.run(func() { i.stalls.Run(parts) })
 	var told core.Peers
 	if len(cfg.Instances) > 1 {
-		if i.peers, err = peer.Open(cfg, i.loop, opt.Log.With().Str("part", "peer").Logger()); err != nil {
+		if i.peers, err = peer.OpenSealed(cfg, i.loop, opt.Log.With().Str("part", "peer").Logger()); err != nil {
 			return nil, err
 		}
 		told = i.peers
@@ -116,13 +116,13 @@
 		i.loop.Run(loop)
 	}()
 	var lists discovery.Sink = i.loop
-	if opt.Hooks.Lists != nil {
-		lists = opt.Hooks.Lists(lists)
+	if opt.Hooks.ServerLists != nil {
+		lists = opt.Hooks.ServerLists(lists)
 	}
 	if cfg.Discovery == nil {
-		<-lists.Servers(cfg.Boxes, true)
+		<-lists.UpdateServers(cfg.Servers, true)
 	} else {
-		i.disc = discovery.NewClient(*cfg.Discovery, fmt.Sprintf("cometpond-%d", cfg.Me), lists,
+		i.disc = discovery.NewClient(*cfg.Discovery, fmt.Sprintf("cometpond-%d", cfg.Self), lists,
 			opt.Log.With().Str("part", "discovery").Logger())
 		if err := i.disc.Restore(ctx); err != nil {
 			opt.Log.Warn().Err(err).Msg("kept list not used")
@@ -140,8 +140,8 @@
 			return nil, err
 		}
 	}
-	i.front, err = front.Start(calls, front.Options{Listen: cfg.Listen, Loops: loops, Bounds: cfg.Front, Book: book,
-		Info: i.Info, Age: i.stalls.Age, Read: opt.Hooks.Read, Log: opt.Log.With().Str("part", "front").Logger()})
+	i.front, err = front.Start(calls, front.Options{Listen: cfg.Listen, Loops: loops, Limits: cfg.Front, Registry: book,
+		Info: i.Info, InputAge: i.stalls.InputAge, FilterInput: opt.Hooks.FilterInput, Log: opt.Log.With().Str("part", "front").Logger()})
 	if err != nil {
 		return nil, err
 	}
@@ -152,20 +152,20 @@
 type rpcCore struct {
 	front.Core
 	loop   *core.Loop
-	stalls *core.Stalls
+	stalls *core.PauseMonitor
 }
 
 // Submit hands calls in. When their connections were last read is not known here, so that after a stall all
 // are taken to have been sent when it began.
 func (c rpcCore) Submit(calls []*core.Call) int {
-	age, _ := c.stalls.Age(0, false)
+	age, _ := c.stalls.InputAge(0, false)
 	for _, k := range calls {
 		k.AgeS = age
 	}
 	return c.Core.Submit(calls)
 }
 
-func (c rpcCore) Return(calls []*core.Call) { c.loop.Return(calls) }
+func (c rpcCore) ReturnUnits(calls []*core.Call) { c.loop.ReturnUnits(calls) }
 
 func (i *Instance) run(f func()) {
 	i.parts.Add(1)
@@ -189,12 +189,12 @@
 // Stop turns new work away, lets what is in flight end for as long as the settings say, settles the rest,
 // and closes everything. When ctx is over it settles at once. Each request taken has had its answer.
 func (i *Instance) Stop(ctx context.Context) {
-	i.front.Drain()
+	i.front.RejectNewConnections()
 	if i.rpc != nil {
 		i.rpc.Drain()
 	}
 	i.loop.Drain()
-	deadline := time.NewTimer(i.cfg.Drain)
+	deadline := time.NewTimer(i.cfg.DrainTimeout)
 	defer deadline.Stop()
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
@@ -202,7 +202,7 @@
 	for waiting := true; waiting && quiet < 3; { // three looks: what is being read just now comes in between
 		select {
 		case <-tick.C:
-			if s := i.loop.Status(); s.Held+s.Waiting == 0 {
+			if s := i.loop.Status(); s.OpenRequests+s.QueuedCalls == 0 {
 				quiet++
 			} else {
 				quiet = 0
@@ -219,7 +219,7 @@
 	flush, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	i.front.Flush(flush)
-	i.log.Info().Int("settled", s.Held).Uint64("taken", s.Taken).Msg("stopped")
+	i.log.Info().Int("settled", s.OpenRequests).Uint64("taken", s.Received).Msg("stopped")
 	i.end()
 }
 
@@ -253,34 +253,34 @@
 			fmt.Fprintf(&b, "%v:%v\r\n", pairs[k], pairs[k+1])
 		}
 	}
-	section("Server", "instance", i.cfg.Me, "zone", i.cfg.Zone, "uptime_in_seconds", int(time.Since(i.since).Seconds()))
+	section("Server", "instance", i.cfg.Self, "zone", i.cfg.Zone, "uptime_in_seconds", int(time.Since(i.since).Seconds()))
 	s := i.loop.Status()
-	section("Requests", "taken", s.Taken, "served", s.Served, "refused", s.Refused, "failed", s.Failed, "admitted", s.Admitted,
-		"client_gone", s.Gone, "joined", s.Joined, "repeated", s.Repeated, "overfull", s.Overfull, "overdue", s.Overdue,
-		"stalls", i.stalls.Seen(), "too_late", s.TooLate, "in_flight", s.Held, "waiting", s.Waiting, "attempts", s.Attempts, "attempt_timeouts", s.Timeouts,
-		"late_answers", s.Late, "probes", s.Probes)
+	section("Requests", "taken", s.Received, "served", s.Served, "refused", s.Refused, "failed", s.Failed, "admitted", s.Admitted,
+		"client_gone", s.Disconnected, "joined", s.Joined, "repeated", s.Repeated, "overfull", s.Overloaded, "overdue", s.Overdue,
+		"stalls", i.stalls.PauseCount(), "too_late", s.DeadlinePassed, "in_flight", s.OpenRequests, "waiting", s.QueuedCalls, "attempts", s.Attempts, "attempt_timeouts", s.Timeouts,
+		"late_answers", s.LateResults, "probes", s.Probes)
 	if i.front != nil {
 		c := i.front.Counts()
-		section("Clients", "connections", c.Open, "connections_total", c.Opened, "connections_cut", c.Cut, "commands", c.Commands,
-			"logins_denied", c.Denied, "connections_parked", c.Parked, "input_held", c.Input.Held, "input_waiting", c.Input.Waiting,
-			"input_strangers", c.Input.Strangers)
+		section("Clients", "connections", c.Open, "connections_total", c.Opened, "connections_cut", c.Terminated, "commands", c.Commands,
+			"logins_denied", c.LoginsDenied, "connections_parked", c.ReadsPaused, "input_held", c.Input.GrantedBytes, "input_waiting", c.Input.Waiting,
+			"input_strangers", c.Input.UnauthenticatedBytes)
 	}
 	if i.rpc != nil {
 		c := i.rpc.Counts()
-		section("gRPC", "calls", c.Calls, "stream_requests", c.Requests, "streams", c.Open, "calls_denied", c.Denied,
-			"rpc_connections_cut", c.Cut)
+		section("gRPC", "calls", c.Calls, "stream_requests", c.StreamRequests, "streams", c.OpenStreams, "calls_denied", c.DeniedCalls,
+			"rpc_connections_cut", c.RejectedConnections)
 	}
 	p := i.pool.Counts()
 	section("Boxes", "box_connections", p.OpenConnections, "dials", p.Dials, "dials_failed", p.DialsFailed, "attempts_broken", p.AttemptsBroken)
 	if i.disc != nil {
-		d := i.disc.State()
-		section("Discovery", "discovery_connected", d.Connected, "list_version", d.Version, "list_boxes", d.Boxes,
-			"lists_refused", d.Nacked)
+		d := i.disc.Status()
+		section("Discovery", "discovery_connected", d.Connected, "list_version", d.Version, "list_boxes", d.Servers,
+			"lists_refused", d.RejectedLists)
 	}
 	if i.peers != nil {
 		c := i.peers.Counts()
-		section("Peers", "messages_sent", c.Sent, "messages_unsent", c.Unsent, "messages_heard", c.Heard,
-			"messages_dropped", s.Dropped, "foreign", c.Foreign, "replayed", c.Replayed, "old", c.Old, "misdirected", c.WrongWay)
+		section("Peers", "messages_sent", c.Sent, "messages_unsent", c.Unsent, "messages_heard", c.Received,
+			"messages_dropped", s.DroppedMessages, "foreign", c.Foreign, "replayed", c.Replayed, "old", c.Old, "misdirected", c.Misdirected)
 	}
 	return b.String()
 }
--- a/internal/instance/instance_test.go
+++ b/internal/instance/instance_test.go
@@ -103,7 +103,7 @@
 	t.Helper()
 	defer c.Close()
 	in.Stop(context.Background())
-	if s := in.Status(); s.Taken != s.Served+s.Refused+s.Failed+s.Admitted+s.Gone || s.Held != 0 {
+	if s := in.Status(); s.Received != s.Served+s.Refused+s.Failed+s.Admitted+s.Disconnected || s.OpenRequests != 0 {
 		t.Errorf("answers do not add up: %+v", s)
 	}
 }
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -16,21 +16,21 @@
 
 // Limits bound what is held. Bytes, each 1 at least.
 type Limits struct {
-	Free      int     // a connection that has logged in holds so much without asking
-	Total     int     // of all that asked
-	Reserve   int     // beyond Total, for one at a time: the largest command
-	Strangers int     // of all that have not logged in
-	PassS     float64 // seconds after which a waiting connection is passed by none
+	FreeBytes            int     // a connection that has logged in holds so much without asking
+	TotalBytes           int     // of all that asked
+	ReserveBytes         int     // beyond Total, for one at a time: the largest command
+	UnauthenticatedBytes int     // of all that have not logged in
+	MaxOvertakeS         float64 // seconds after which a waiting connection is passed by none
 }
 
-// Verdict is the answer to a connection that wants to hold input.
-type Verdict int
+// Decision is the answer to a connection that wants to hold input.
+type Decision int
 
 // The verdicts.
 const (
-	Go   Verdict = iota // read on
-	Wait                // read no more until granted
-	Cut                 // there is no room for strangers
+	Proceed    Decision = iota // read on
+	Wait                       // read no more until granted
+	Disconnect                 // there is no room for strangers
 )
 
 // Pool is the state of all connections that hold more than they may unasked. It is not safe for concurrent use.
@@ -60,24 +60,24 @@
 	return &Pool{lim: lim, held: map[uint64]int{}, strangers: map[uint64]int{}, waiting: map[uint64]*waiter{}}
 }
 
-// Stranger tells whether a connection that has not logged in may hold so many bytes.
-func (p *Pool) Stranger(id uint64, bytes int) Verdict {
+// HoldUnauthenticated tells whether a connection that has not logged in may hold so many bytes.
+func (p *Pool) HoldUnauthenticated(id uint64, bytes int) Decision {
 	now := p.strange - p.strangers[id] + bytes
-	if now > p.lim.Strangers {
-		return Cut
+	if now > p.lim.UnauthenticatedBytes {
+		return Disconnect
 	}
 	p.strange = now
 	if p.strangers[id] = bytes; bytes == 0 {
 		delete(p.strangers, id)
 	}
-	return Go
+	return Proceed
 }
 
-// Ask tells whether a connection, not 0, may hold so many bytes in all. After Wait it is among those that a
+// Acquire tells whether a connection, not 0, may hold so many bytes in all. After Wait it is among those that a
 // later call returns, unless it leaves first. It returns the others that may go on by now.
-func (p *Pool) Ask(now float64, id uint64, bytes int) (Verdict, []uint64) {
-	if bytes <= p.lim.Free || bytes <= p.held[id] {
-		return Go, nil
+func (p *Pool) Acquire(now float64, id uint64, bytes int) (Decision, []uint64) {
+	if bytes <= p.lim.FreeBytes || bytes <= p.held[id] {
+		return Proceed, nil
 	}
 	if p.waiting[id] != nil {
 		return Wait, nil
@@ -88,13 +88,13 @@
 	p.byAge = append(p.byAge, w)
 	granted := p.Tick(now)
 	if i := slices.Index(granted, id); i >= 0 {
-		return Go, slices.Delete(granted, i, i+1)
+		return Proceed, slices.Delete(granted, i, i+1)
 	}
 	return Wait, granted
 }
 
-// Done takes back all that a connection held: its commands are whole. It returns those that may go on.
-func (p *Pool) Done(now float64, id uint64) []uint64 {
+// Release takes back all that a connection held: its commands are whole. It returns those that may go on.
+func (p *Pool) Release(now float64, id uint64) []uint64 {
 	if p.held[id] == 0 {
 		return nil
 	}
@@ -102,9 +102,9 @@
 	return p.Tick(now)
 }
 
-// Leave forgets a connection. It returns those that may go on.
-func (p *Pool) Leave(now float64, id uint64) []uint64 {
-	_ = p.Stranger(id, 0)
+// Remove forgets a connection. It returns those that may go on.
+func (p *Pool) Remove(now float64, id uint64) []uint64 {
+	_ = p.HoldUnauthenticated(id, 0)
 	if w := p.waiting[id]; w != nil {
 		p.drop(w)
 	} else if p.held[id] == 0 {
@@ -138,7 +138,7 @@
 			p.byAge = p.byAge[1:]
 		}
 		w, oldest := p.bySize[0], p.byAge[0]
-		aged := now-oldest.since >= p.lim.PassS
+		aged := now-oldest.since >= p.lim.MaxOvertakeS
 		if aged {
 			w = oldest
 		}
@@ -147,9 +147,9 @@
 			w, spare = mine, true
 		}
 		switch {
-		case p.used+w.more <= p.lim.Total:
+		case p.used+w.more <= p.lim.TotalBytes:
 			p.used += w.more
-		case spare && p.inReserve+w.more <= p.lim.Reserve:
+		case spare && p.inReserve+w.more <= p.lim.ReserveBytes:
 			p.reserved = w.id
 			p.inReserve += w.more
 		default:
@@ -167,9 +167,9 @@
 
 // Counts are what a pool holds now.
 type Counts struct {
-	Held      int // bytes granted, on the reserve too
-	Strangers int // bytes of those that have not logged in
-	Waiting   int // connections
+	GrantedBytes         int // bytes granted, on the reserve too
+	UnauthenticatedBytes int // bytes of those that have not logged in
+	Waiting              int // connections
 }
 
 // Counts returns what is held now.
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -14,12 +14,12 @@
 	}
 }
 
-var lim = Limits{Free: 10, Total: 100, Reserve: 60, Strangers: 30, PassS: 2}
+var lim = Limits{FreeBytes: 10, TotalBytes: 100, ReserveBytes: 60, UnauthenticatedBytes: 30, MaxOvertakeS: 2}
 
 // ask is Ask where no other is to go on.
-func ask(t *testing.T, p *Pool, now float64, id uint64, bytes int) Verdict {
+func ask(t *testing.T, p *Pool, now float64, id uint64, bytes int) Decision {
 	t.Helper()
-	v, others := p.Ask(now, id, bytes)
+	v, others := p.Acquire(now, id, bytes)
 	if len(others) > 0 {
 		t.Fatalf("%v go on as well", others)
 	}
@@ -29,37 +29,37 @@
 func TestSmallestFirstUntilAged(t *testing.T) {
 	p := New(lim)
 	for id, bytes := range map[uint64]int{1: 10, 2: 60, 3: 40} { // 10 is free of asking
-		if v := ask(t, p, 0, id, bytes); v != Go {
+		if v := ask(t, p, 0, id, bytes); v != Proceed {
 			t.Fatalf("connection %d: %v", id, v)
 		}
 	}
 	if ask(t, p, 0, 4, 50) != Wait || ask(t, p, 1, 5, 20) != Wait || ask(t, p, 1, 4, 50) != Wait {
 		t.Fatal("there is no room left")
 	}
-	if got := p.Done(1, 3); !reflect.DeepEqual(got, []uint64{5}) { // the smaller passes
+	if got := p.Release(1, 3); !reflect.DeepEqual(got, []uint64{5}) { // the smaller passes
 		t.Fatal(got)
 	}
-	if ask(t, p, 1.9, 6, 20) != Go {
+	if ask(t, p, 1.9, 6, 20) != Proceed {
 		t.Fatal("room for 20, and none has waited long")
 	}
-	if v, others := p.Ask(2, 7, 11); v != Wait || !reflect.DeepEqual(others, []uint64{4}) { // 4 has waited for 2 s: nobody passes it now, and the reserve lets it go on
+	if v, others := p.Acquire(2, 7, 11); v != Wait || !reflect.DeepEqual(others, []uint64{4}) { // 4 has waited for 2 s: nobody passes it now, and the reserve lets it go on
 		t.Fatal("passed one that has waited long enough")
 	}
-	if got := p.Counts(); got.Held != 60+20+20+50 || got.Waiting != 1 {
+	if got := p.Counts(); got.GrantedBytes != 60+20+20+50 || got.Waiting != 1 {
 		t.Fatalf("%+v", got)
 	}
 }
 
 func TestStrangers(t *testing.T) {
 	p := New(lim)
-	if p.Stranger(1, 16) != Go || p.Stranger(2, 14) != Go || p.Stranger(3, 1) != Cut || p.Stranger(1, 17) != Cut {
+	if p.HoldUnauthenticated(1, 16) != Proceed || p.HoldUnauthenticated(2, 14) != Proceed || p.HoldUnauthenticated(3, 1) != Disconnect || p.HoldUnauthenticated(1, 17) != Disconnect {
 		t.Fatal("30 in all")
 	}
-	if p.Stranger(1, 0) != Go || p.Stranger(3, 16) != Go {
+	if p.HoldUnauthenticated(1, 0) != Proceed || p.HoldUnauthenticated(3, 16) != Proceed {
 		t.Fatal("16 are free again")
 	}
-	p.Leave(0, 3)
-	if p.Counts().Strangers != 14 {
+	p.Remove(0, 3)
+	if p.Counts().UnauthenticatedBytes != 14 {
 		t.Fatalf("%+v", p.Counts())
 	}
 }
@@ -67,7 +67,7 @@
 // Connections that each hold one argument and wait for the next do not hold each other up for ever.
 func TestNoDeadlock(t *testing.T) {
 	p := New(lim)
-	if ask(t, p, 0, 1, 50) != Go || ask(t, p, 0, 2, 50) != Go || ask(t, p, 0, 1, 90) != Wait || ask(t, p, 0, 2, 90) != Wait {
+	if ask(t, p, 0, 1, 50) != Proceed || ask(t, p, 0, 2, 50) != Proceed || ask(t, p, 0, 1, 90) != Wait || ask(t, p, 0, 2, 90) != Wait {
 		t.Fatal("no room for the second arguments")
 	}
 	if got := p.Tick(1.9); got != nil {
@@ -76,10 +76,10 @@
 	if got := p.Tick(2); !reflect.DeepEqual(got, []uint64{1}) {
 		t.Fatal(got)
 	}
-	if got := p.Done(2, 1); !reflect.DeepEqual(got, []uint64{2}) {
+	if got := p.Release(2, 1); !reflect.DeepEqual(got, []uint64{2}) {
 		t.Fatal(got)
 	}
-	if p.Done(3, 2); p.Counts() != (Counts{}) {
+	if p.Release(3, 2); p.Counts() != (Counts{}) {
 		t.Fatalf("%+v", p.Counts())
 	}
 }
@@ -105,7 +105,7 @@
 				sum += n
 			}
 			c := p.Counts()
-			if c.Held != sum || c.Waiting != len(waits) || sum > lim.Total+lim.Reserve {
+			if c.GrantedBytes != sum || c.Waiting != len(waits) || sum > lim.TotalBytes+lim.ReserveBytes {
 				t.Fatalf("%+v, held %v, waiting %v", c, held, waits)
 			}
 		}
@@ -118,10 +118,10 @@
 				if waits[id] > 0 || bytes > 60 {
 					break
 				}
-				v, others := p.Ask(now, id, bytes)
+				v, others := p.Acquire(now, id, bytes)
 				grant(others)
-				if v == Go {
-					if bytes > lim.Free && bytes > held[id] {
+				if v == Proceed {
+					if bytes > lim.FreeBytes && bytes > held[id] {
 						held[id] = bytes
 					}
 				} else {
@@ -130,12 +130,12 @@
 			case 2:
 				if waits[id] == 0 {
 					delete(held, id)
-					grant(p.Done(now, id))
+					grant(p.Release(now, id))
 				}
 			case 3:
 				delete(held, id)
 				delete(waits, id)
-				grant(p.Leave(now, id))
+				grant(p.Remove(now, id))
 			}
 			grant(p.Tick(now))
 			check()
@@ -146,7 +146,7 @@
 			for id := range held {
 				if waits[id] == 0 {
 					delete(held, id)
-					grant(p.Done(now, id))
+					grant(p.Release(now, id))
 				}
 			}
 			check()
--- a/internal/links/pool.go
+++ b/internal/links/pool.go
@@ -22,11 +22,11 @@
 	Dial()
 	// Write writes payloads in the order of the calls. Immediately before each write, the implementation asks StartWrite
 	// whether the attempt is still to be written.
-	Write(conn *Conn, attempt core.Attempt, payload []byte)
+	Write(conn *Conn, attempt core.AttemptID, payload []byte)
 	// Close closes a connection. It ends in a call of Closed.
 	Close(conn *Conn)
 	// End reports that an attempt has ended without a reply.
-	End(attempt core.Attempt, status policy.Status)
+	End(attempt core.AttemptID, status policy.Status)
 }
 
 // Limits bound what a Pool uses. Times are in seconds, on the clock of the times passed to its methods.
@@ -46,7 +46,7 @@
 	conns    []*Conn
 	dialing  int             // connections being opened
 	waiting  []*pendingReply // attempts without a connection
-	attempts map[core.Attempt]*pendingReply
+	attempts map[core.AttemptID]*pendingReply
 	retired  bool // the server is no longer listed
 	draining bool // no new attempt goes to the server
 }
@@ -66,7 +66,7 @@
 
 // pendingReply is an attempt, or one command of this gateway's greeting, whose reply has not come yet.
 type pendingReply struct {
-	attempt   core.Attempt
+	attempt   core.AttemptID
 	payload   []byte
 	startBy   float64 // not written after this time
 	answerBy  float64 // the reply is useless after this time
@@ -79,7 +79,7 @@
 
 // New returns a pool without connections.
 func New(limits Limits, effects Effects) *Pool {
-	return &Pool{limits: limits, effects: effects, attempts: map[core.Attempt]*pendingReply{}}
+	return &Pool{limits: limits, effects: effects, attempts: map[core.AttemptID]*pendingReply{}}
 }
 
 // SetMaxConnections changes the limit on connections. Open connections above the new limit stay open.
@@ -88,7 +88,7 @@
 // Send starts an attempt. It uses, in this order: an idle connection, a new connection, a connection that has just
 // received a reply (see Limits.ReuseDelayS), or the connection with the fewest attempts. If every limit is reached, the
 // attempt ends at once as policy.Full: the server has not seen it.
-func (pool *Pool) Send(now float64, attempt core.Attempt, payload []byte, timing policy.Timing) {
+func (pool *Pool) Send(now float64, attempt core.AttemptID, payload []byte, timing policy.Timing) {
 	pending := &pendingReply{attempt: attempt, payload: payload,
 		startBy: now + min(timing.StartWithinS, timing.AnswerWithinS), answerBy: now + timing.AnswerWithinS}
 	pool.attempts[attempt] = pending
@@ -167,7 +167,7 @@
 // StartWrite reports whether the payload of an attempt is to be written now, and how many seconds remain for its reply.
 // An attempt that was cancelled meanwhile, whose time is over, or whose server drains is taken off its connection: the
 // server never sees it.
-func (pool *Pool) StartWrite(now float64, conn *Conn, attempt core.Attempt) (remainingS float64, ok bool) {
+func (pool *Pool) StartWrite(now float64, conn *Conn, attempt core.AttemptID) (remainingS float64, ok bool) {
 	i := slices.IndexFunc(conn.queue, func(pending *pendingReply) bool { return !pending.greeting && pending.attempt == attempt })
 	if i < 0 {
 		return 0, false // its connection has ended
@@ -197,7 +197,7 @@
 func (conn *Conn) InFlight() int { return len(conn.queue) - conn.greetings - conn.cancelled }
 
 // SetEndOffset records where the command of an attempt admitted by StartWrite ends in the bytes sent on its connection.
-func (conn *Conn) SetEndOffset(attempt core.Attempt, endOffset int64) {
+func (conn *Conn) SetEndOffset(attempt core.AttemptID, endOffset int64) {
 	if i := slices.IndexFunc(conn.queue,
 		func(pending *pendingReply) bool { return !pending.greeting && pending.attempt == attempt }); i >= 0 {
 		conn.queue[i].endOffset = endOffset
@@ -285,7 +285,7 @@
 
 // Withdraw takes back an attempt whose reply is no longer needed. If it is unwritten, it ends as policy.Moot and the
 // server never sees it; otherwise it runs to its end.
-func (pool *Pool) Withdraw(attempt core.Attempt) {
+func (pool *Pool) Withdraw(attempt core.AttemptID) {
 	if pending := pool.attempts[attempt]; pending != nil && !pending.written {
 		pool.Cancel(attempt)
 		pool.effects.End(attempt, policy.NotSent)
@@ -293,7 +293,7 @@
 }
 
 // Cancel abandons an attempt. Its end is not reported.
-func (pool *Pool) Cancel(attempt core.Attempt) {
+func (pool *Pool) Cancel(attempt core.AttemptID) {
 	pending := pool.attempts[attempt]
 	if pending == nil {
 		return
@@ -327,9 +327,9 @@
 )
 
 // MatchReply returns what the next reply on a connection belongs to.
-func (pool *Pool) MatchReply(now float64, conn *Conn) (core.Attempt, ReplyKind) {
+func (pool *Pool) MatchReply(now float64, conn *Conn) (core.AttemptID, ReplyKind) {
 	if len(conn.queue) == 0 {
-		return core.Attempt{}, UnexpectedReply
+		return core.AttemptID{}, UnexpectedReply
 	}
 	pending := conn.queue[0]
 	conn.queue = conn.queue[1:]
--- a/internal/links/pool_test.go
+++ b/internal/links/pool_test.go
@@ -34,15 +34,15 @@
 func newRecord() *record { return &record{written: map[*Conn][]int{}, ended: map[int]policy.Status{}} }
 
 func (rec *record) Dial() { rec.dials++ }
-func (rec *record) Write(conn *Conn, _ core.Attempt, payload []byte) {
+func (rec *record) Write(conn *Conn, _ core.AttemptID, payload []byte) {
 	rec.written[conn] = append(rec.written[conn], int(payload[0]))
 }
 func (rec *record) Close(conn *Conn) { rec.closing = append(rec.closing, conn) }
-func (rec *record) End(attempt core.Attempt, status policy.Status) {
-	if _, twice := rec.ended[attempt.N]; twice {
+func (rec *record) End(attempt core.AttemptID, status policy.Status) {
+	if _, twice := rec.ended[attempt.Index]; twice {
 		panic("an attempt ended twice")
 	}
-	rec.ended[attempt.N] = status
+	rec.ended[attempt.Index] = status
 }
 
 // startWrite is StartWrite without the remaining time.
@@ -51,7 +51,7 @@
 	return ok
 }
 
-func attempt(n int) core.Attempt { return core.Attempt{N: n} }
+func attempt(n int) core.AttemptID { return core.AttemptID{Index: n} }
 
 // Attempts that wait for two connections at once are all written when both have opened.
 func TestAllWaitingAttemptsAreWritten(t *testing.T) {
@@ -134,8 +134,8 @@
 				default:
 					first := rec.written[conn][0]
 					rec.written[conn] = rec.written[conn][1:]
-					if a.N != first || (kind == LateReply) != cancelled[first] {
-						t.Fatalf("the reply to %d was matched to %d as %v", first, a.N, kind)
+					if a.Index != first || (kind == LateReply) != cancelled[first] {
+						t.Fatalf("the reply to %d was matched to %d as %v", first, a.Index, kind)
 					}
 					answered[first] = true
 				}
@@ -226,9 +226,9 @@
 		t.Fatalf("ended %v", rec.ended)
 	}
 	for _, want := range []struct {
-		attempt core.Attempt
+		attempt core.AttemptID
 		kind    ReplyKind
-	}{{core.Attempt{}, GreetingReply}, {attempt(3), AttemptReply}, {attempt(4), AttemptReply}, {core.Attempt{}, UnexpectedReply}} {
+	}{{core.AttemptID{}, GreetingReply}, {attempt(3), AttemptReply}, {attempt(4), AttemptReply}, {core.AttemptID{}, UnexpectedReply}} {
 		if a, kind := pool.MatchReply(0, conn); a != want.attempt || kind != want.kind {
 			t.Fatalf("%v %v, want %v", a, kind, want)
 		}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -19,20 +19,20 @@
 
 // Sink takes messages of other instances.
 type Sink interface {
-	Heard(from int, data []byte)
+	QueueMessage(from int, data []byte)
 }
 
 // Counts are totals since the start.
 type Counts struct {
-	Sent, Unsent, Heard              uint64 // unsent: the queue was full, or the system would not send
-	Foreign, Replayed, Old, WrongWay uint64
+	Sent, Unsent, Received              uint64 // unsent: the queue was full, or the system would not send
+	Foreign, Replayed, Old, Misdirected uint64
 }
 
 // mostUnsent bounds the datagrams that wait to be sent; one more is lost, as the network may lose it.
 const mostUnsent = 1 << 12
 
-// Link is this instance's socket to the others.
-type Link struct {
+// Transport is this instance's socket to the others.
+type Transport struct {
 	conn  *net.UDPConn
 	me    int
 	addrs []*net.UDPAddr
@@ -59,21 +59,21 @@
 	data []byte
 }
 
-// Open binds this instance's address.
-func Open(c *config.Config, sink Sink, log zerolog.Logger) (*Link, error) {
-	l := &Link{me: c.Me, sink: sink, log: log, out: make(chan outgoing, mostUnsent)}
+// OpenSealed binds this instance's address.
+func OpenSealed(c *config.Config, sink Sink, log zerolog.Logger) (*Transport, error) {
+	l := &Transport{me: c.Self, sink: sink, log: log, out: make(chan outgoing, mostUnsent)}
 	for _, i := range c.Instances {
-		a, err := net.ResolveUDPAddr("udp", i.Peer)
+		a, err := net.ResolveUDPAddr("udp", i.PeerAddress)
 		if err != nil {
 			return nil, fmt.Errorf("instance %d: %w", i.Number, err)
 		}
 		l.addrs = append(l.addrs, a)
 	}
 	var err error
-	if l.seal, err = newSealer(c.PeerKey, c.Me, len(c.Instances), uint64(time.Now().UnixNano())); err != nil {
+	if l.seal, err = newSealer(c.PeerKey, c.Self, len(c.Instances), uint64(time.Now().UnixNano())); err != nil {
 		return nil, err
 	}
-	if err = l.listen(l.addrs[c.Me]); err != nil {
+	if err = l.listen(l.addrs[c.Self]); err != nil {
 		return nil, err
 	}
 	return l, nil
@@ -82,8 +82,8 @@
 // OpenPlain binds listen for messages that are not sealed, on a network where nobody else can send: a datagram is
 // believed if it comes from the address of another instance. Peers holds an address for each instance, me's own
 // included, and all one that reaches every other, "" for none.
-func OpenPlain(listen string, peers []string, all string, me int, sink Sink, log zerolog.Logger) (*Link, error) {
-	l := &Link{me: me, sink: sink, log: log, out: make(chan outgoing, mostUnsent)}
+func OpenPlain(listen string, peers []string, all string, me int, sink Sink, log zerolog.Logger) (*Transport, error) {
+	l := &Transport{me: me, sink: sink, log: log, out: make(chan outgoing, mostUnsent)}
 	p := plain{me: me, from: map[netip.AddrPort]int{}}
 	for i, s := range peers {
 		a, err := net.ResolveUDPAddr("udp", s)
@@ -119,7 +119,7 @@
 
 // listen binds the socket. What is wanting for a moment is waited for, and so is an address that a process on its way out
 // still holds.
-func (l *Link) listen(at *net.UDPAddr) error {
+func (l *Transport) listen(at *net.UDPAddr) error {
 	ctx, cancel := context.WithTimeout(context.Background(), listenFor)
 	defer cancel()
 	err := syserr.Retry(ctx, syserr.ListenRetryable, func() (err error) {
@@ -133,7 +133,7 @@
 }
 
 // SendToPeer sends a message to one instance, or to all others with policy.Broadcast; it never blocks.
-func (l *Link) SendToPeer(instance int, data []byte) {
+func (l *Transport) SendToPeer(instance int, data []byte) {
 	if instance == policy.Broadcast && l.all == nil {
 		for i := range l.addrs {
 			if i != l.me {
@@ -154,7 +154,7 @@
 }
 
 // Run sends and receives until ctx is over, then closes the socket.
-func (l *Link) Run(ctx context.Context) {
+func (l *Transport) Run(ctx context.Context) {
 	var reader sync.WaitGroup
 	reader.Add(1)
 	go func() {
@@ -186,7 +186,7 @@
 	}
 }
 
-func (l *Link) read() {
+func (l *Transport) read() {
 	buf := make([]byte, maxPacket+1)
 	for {
 		n, source, err := l.conn.ReadFromUDPAddrPort(buf)
@@ -202,7 +202,7 @@
 		switch {
 		case err == nil:
 			l.heard.Add(1)
-			l.sink.Heard(from, message)
+			l.sink.QueueMessage(from, message)
 		case errors.Is(err, ErrReplayed):
 			l.replayed.Add(1)
 		case errors.Is(err, ErrOld):
@@ -216,6 +216,6 @@
 }
 
 // Counts returns the totals so far.
-func (l *Link) Counts() Counts {
+func (l *Transport) Counts() Counts {
 	return Counts{l.sent.Load(), l.unsent.Load(), l.heard.Load(), l.foreign.Load(), l.replayed.Load(), l.old.Load(), l.wrongWay.Load()}
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -23,7 +23,7 @@
 	list []string
 }
 
-func (h *heard) Heard(from int, data []byte) {
+func (h *heard) QueueMessage(from int, data []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.list = append(h.list, string(rune('0'+from))+string(data))
@@ -48,13 +48,13 @@
 	}
 	defer tap.Close()
 	key := bytes.Repeat([]byte{7}, 32)
-	open := func(me int, addrs ...string) (*Link, *heard) {
-		c := &config.Config{Me: me, PeerKey: key}
+	open := func(me int, addrs ...string) (*Transport, *heard) {
+		c := &config.Config{Self: me, PeerKey: key}
 		for i, a := range addrs {
-			c.Instances = append(c.Instances, config.Instance{Number: i, Peer: a})
+			c.Instances = append(c.Instances, config.Instance{Number: i, PeerAddress: a})
 		}
 		h := &heard{}
-		l, err := Open(c, h, zerolog.Nop())
+		l, err := OpenSealed(c, h, zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -82,7 +82,7 @@
 			t.Fatal(err)
 		}
 	}
-	wait(t, func() bool { c := b.Counts(); return c.Heard+c.Replayed+c.Foreign == 4 })
+	wait(t, func() bool { c := b.Counts(); return c.Received+c.Replayed+c.Foreign == 4 })
 	if c := b.Counts(); got.count() != 1 || got.list[0] != "0hello" || c.Replayed != 1 || c.Foreign != 2 {
 		t.Errorf("heard %v, %+v", got.list, c)
 	}
@@ -125,7 +125,7 @@
 		}
 	}
 	l.SendToPeer(1, []byte("echo")) // to itself
-	wait(t, func() bool { c := l.Counts(); return c.Heard == 3 && c.Foreign == 2 && c.WrongWay == 1 })
+	wait(t, func() bool { c := l.Counts(); return c.Received == 3 && c.Foreign == 2 && c.Misdirected == 1 })
 	h.mu.Lock()
 	if len(h.list) != 3 || h.list[0] != "0"+string(bytes.Repeat([]byte{'m'}, MaxPlain)) || h.list[1] != "2" || h.list[2] != "2m" {
 		t.Errorf("heard %d messages: %.20q", len(h.list), h.list)
--- a/internal/resp/parse.go
+++ b/internal/resp/parse.go
@@ -12,12 +12,12 @@
 // Limits bounds what a parser takes. Each is checked against the announced size, before the bytes
 // themselves have come in.
 type Limits struct {
-	Bulk   int  // bytes of one string, 1 at least
-	Args   int  // arguments of one command, or elements of a reply in all, 1 at least
-	Inline int  // bytes of a line: an inline command, a header, a simple string
-	Depth  int  // levels of nested arrays, maps and sets in a reply
-	Whole  int  // bytes of one command in all, 0: not bounded
-	Arrays bool // commands are arrays alone, never inline lines
+	Bulk       int  // bytes of one string, 1 at least
+	Args       int  // arguments of one command, or elements of a reply in all, 1 at least
+	Inline     int  // bytes of a line: an inline command, a header, a simple string
+	Depth      int  // levels of nested arrays, maps and sets in a reply
+	Command    int  // bytes of one command in all, 0: not bounded
+	ArraysOnly bool // commands are arrays alone, never inline lines
 }
 
 // DefaultLimits suit commands and answers of some hundred kilobytes.
@@ -72,15 +72,15 @@
 	return n, len(b) > 0
 }
 
-// Command reads the command at the start of buf, an array of bulk strings or an inline line. The
+// ParseCommand reads the command at the start of buf, an array of bulk strings or an inline line. The
 // arguments are appended to args and point into buf. n is the bytes that the command took; with no
 // arguments but n above 0 the line was empty and is to be skipped. Errors are ErrIncomplete, with need as
 // the least length of buf at which another look is worth it, or a ProtocolError.
-func Command(buf []byte, args [][]byte, lim Limits) (out [][]byte, n, need int, err error) {
+func ParseCommand(buf []byte, args [][]byte, lim Limits) (out [][]byte, n, need int, err error) {
 	if len(buf) == 0 {
 		return args, 0, 1, ErrIncomplete
 	}
-	if lim.Arrays && buf[0] != '*' {
+	if lim.ArraysOnly && buf[0] != '*' {
 		return args, 0, 0, ProtocolError("expected '*', got '" + printable(buf[0]) + "'")
 	}
 	head, at, err := line(buf, 0, lim.Inline)
@@ -110,7 +110,7 @@
 		if !ok || size < 0 || size > lim.Bulk {
 			return args, 0, 0, ProtocolError("invalid bulk length")
 		}
-		if at = next + size + 2; lim.Whole > 0 && at > lim.Whole {
+		if at = next + size + 2; lim.Command > 0 && at > lim.Command {
 			return args, 0, 0, ProtocolError("too big request")
 		}
 		if at > len(buf) {
@@ -182,15 +182,15 @@
 	return c
 }
 
-// Reply returns the length of the reply at the start of buf. Attributes that precede it are part of it.
+// ReplyLength returns the length of the reply at the start of buf. Attributes that precede it are part of it.
 // Errors are ErrIncomplete and ProtocolError.
-func Reply(buf []byte, lim Limits) (int, error) {
-	n, _, err := ReplyNeed(buf, lim)
+func ReplyLength(buf []byte, lim Limits) (int, error) {
+	n, _, err := ScanReply(buf, lim)
 	return n, err
 }
 
-// ReplyNeed is Reply that tells with ErrIncomplete the least length of buf at which another look is worth it.
-func ReplyNeed(buf []byte, lim Limits) (n, need int, err error) {
+// ScanReply is Reply that tells with ErrIncomplete the least length of buf at which another look is worth it.
+func ScanReply(buf []byte, lim Limits) (n, need int, err error) {
 	at, elements := 0, lim.Args
 	var open [32]int // elements left on each open level
 	depth := 0
@@ -265,10 +265,10 @@
 	}
 }
 
-// Rest returns what is to be held until more comes in, after used bytes of src were taken. Held is what was held
+// Unprocessed returns what is to be held until more comes in, after used bytes of src were taken. Held is what was held
 // before; src is held itself where that is not empty, and else memory that does not last. Room is the least
 // capacity to begin with, bytes. Nothing left is nil, so that an idle connection holds no memory.
-func Rest(held, src []byte, used, room int) []byte {
+func Unprocessed(held, src []byte, used, room int) []byte {
 	rest := src[used:]
 	switch {
 	case len(rest) == 0:
@@ -295,7 +295,7 @@
 		return nil, reply
 	}
 	for range 2 * pairs {
-		n, err := Reply(reply[at:], lim)
+		n, err := ReplyLength(reply[at:], lim)
 		if err != nil {
 			return nil, reply
 		}
@@ -304,15 +304,15 @@
 	return reply[:at], reply[at:]
 }
 
-// Strings reads the strings and numbers among the elements of an aggregate as text, one level deep.
-func Strings(agg []byte, lim Limits) []string {
+// ElementTexts reads the strings and numbers among the elements of an aggregate as text, one level deep.
+func ElementTexts(agg []byte, lim Limits) []string {
 	head, at, err := line(agg, 0, lim.Inline)
 	if err != nil || len(head) == 0 {
 		return nil
 	}
 	var out []string
 	for at < len(agg) {
-		n, err := Reply(agg[at:], lim)
+		n, err := ReplyLength(agg[at:], lim)
 		if err != nil {
 			return out
 		}
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -8,7 +8,7 @@
 )
 
 func parse(s string, lim Limits) (string, int, error) {
-	args, n, _, err := Command([]byte(s), nil, lim)
+	args, n, _, err := ParseCommand([]byte(s), nil, lim)
 	var words []string
 	for _, a := range args {
 		words = append(words, fmt.Sprintf("%q", a))
@@ -62,12 +62,12 @@
 func TestCommandInPieces(t *testing.T) {
 	whole := AppendCommand(nil, "SIGN.SUBMIT", "key-1", strings.Repeat("x", 300))
 	for i := range whole {
-		_, n, need, err := Command(whole[:i], nil, DefaultLimits)
+		_, n, need, err := ParseCommand(whole[:i], nil, DefaultLimits)
 		if !errors.Is(err, ErrIncomplete) || n != 0 || need <= i || need > len(whole) {
 			t.Fatalf("cut at %d of %d: n %d, need %d, %v", i, len(whole), n, need, err)
 		}
 	}
-	if args, n, _, err := Command(whole, nil, DefaultLimits); err != nil || n != len(whole) || len(args) != 3 {
+	if args, n, _, err := ParseCommand(whole, nil, DefaultLimits); err != nil || n != len(whole) || len(args) != 3 {
 		t.Fatalf("whole: %d of %d, %v", n, len(whole), err)
 	}
 }
@@ -77,12 +77,12 @@
 	for _, s := range []string{"+OK\r\n", "-ERR x\r\n", ":12\r\n", "$-1\r\n", "$0\r\n\r\n", "$2\r\nhi\r\n", "*-1\r\n",
 		"*0\r\n", "*2\r\n:1\r\n*2\r\n+a\r\n$1\r\nb\r\n", "_\r\n", ",1.5\r\n", "#t\r\n", "%1\r\n+a\r\n~1\r\n:1\r\n",
 		"|1\r\n+util\r\n,0.5\r\n+OK\r\n", "=7\r\ntxt:abc\r\n", "!3\r\nERR\r\n", "(123\r\n", "|0\r\n+OK\r\n"} {
-		n, err := Reply([]byte(s+"+next\r\n"), lim)
+		n, err := ReplyLength([]byte(s+"+next\r\n"), lim)
 		if err != nil || n != len(s) {
 			t.Errorf("%q: %d, %v; want %d", s, n, err, len(s))
 		}
 		for i := range s {
-			if _, err := Reply([]byte(s[:i]), lim); !errors.Is(err, ErrIncomplete) {
+			if _, err := ReplyLength([]byte(s[:i]), lim); !errors.Is(err, ErrIncomplete) {
 				t.Errorf("%q cut at %d: %v", s, i, err)
 			}
 		}
@@ -90,7 +90,7 @@
 	for in, want := range map[string]string{"$21\r\n": "bulk length", "*9\r\n": "too many elements",
 		"*1\r\n*1\r\n*1\r\n*1\r\n": "nested too deeply", "?\r\n": "unknown reply type", "\r\n": "empty line",
 		"%5\r\n": "too many elements", "$2\r\nhiXX": "not ended"} {
-		if _, err := Reply([]byte(in), lim); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := ReplyLength([]byte(in), lim); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %q", in, err, want)
 		}
 	}
@@ -115,17 +115,17 @@
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
 		lim := Limits{Bulk: 64, Args: 8, Inline: 64, Depth: 3}
-		args, n, need, err := Command(in, nil, lim)
+		args, n, need, err := ParseCommand(in, nil, lim)
 		if n > len(in) || err == nil && n == 0 || errors.Is(err, ErrIncomplete) && need <= len(in) {
 			t.Fatalf("%q: n %d, need %d, %v", in, n, need, err)
 		}
 		if err == nil && len(args) > 0 {
-			again, m, _, err := Command(AppendArgs(nil, args), nil, Limits{Bulk: 64, Args: 8, Inline: 64})
+			again, m, _, err := ParseCommand(AppendArgs(nil, args), nil, Limits{Bulk: 64, Args: 8, Inline: 64})
 			if err != nil || len(again) != len(args) || m == 0 {
 				t.Fatalf("%q: written and read again: %v, %d arguments of %d", in, err, len(again), len(args))
 			}
 		}
-		if m, err := Reply(in, lim); err == nil {
+		if m, err := ReplyLength(in, lim); err == nil {
 			AppendDowngraded(nil, in[:m], lim)
 		}
 	})
@@ -136,6 +136,6 @@
 	var args [][]byte
 	b.SetBytes(int64(len(buf)))
 	for b.Loop() {
-		args, _, _, _ = Command(buf, args[:0], DefaultLimits)
+		args, _, _, _ = ParseCommand(buf, args[:0], DefaultLimits)
 	}
 }
--- a/internal/resp/write.go
+++ b/internal/resp/write.go
@@ -4,7 +4,7 @@
 
 // AppendCommand appends a command as an array of bulk strings.
 func AppendCommand(dst []byte, args ...string) []byte {
-	dst = AppendArray(dst, len(args))
+	dst = AppendArrayHeader(dst, len(args))
 	for _, a := range args {
 		dst = AppendBulk(dst, a)
 	}
@@ -13,7 +13,7 @@
 
 // AppendArgs is AppendCommand for arguments as bytes.
 func AppendArgs(dst []byte, args [][]byte) []byte {
-	dst = AppendArray(dst, len(args))
+	dst = AppendArrayHeader(dst, len(args))
 	for _, a := range args {
 		dst = appendHead(dst, '$', len(a))
 		dst = append(append(dst, a...), '\r', '\n')
@@ -26,11 +26,11 @@
 	return append(dst, '\r', '\n')
 }
 
-// AppendArray appends the head of an array of n elements, which the caller appends next.
-func AppendArray(dst []byte, n int) []byte { return appendHead(dst, '*', n) }
+// AppendArrayHeader appends the head of an array of n elements, which the caller appends next.
+func AppendArrayHeader(dst []byte, n int) []byte { return appendHead(dst, '*', n) }
 
-// AppendMap appends the head of a map of n pairs: in version 2 an array of twice as many elements.
-func AppendMap(dst []byte, version, n int) []byte {
+// AppendMapHeader appends the head of a map of n pairs: in version 2 an array of twice as many elements.
+func AppendMapHeader(dst []byte, version, n int) []byte {
 	if version < 3 {
 		return appendHead(dst, '*', 2*n)
 	}
@@ -109,7 +109,7 @@
 		}
 		dst = appendHead(dst, '*', n)
 		for range n {
-			size, err := Reply(reply[at:], lim)
+			size, err := ReplyLength(reply[at:], lim)
 			if err != nil {
 				return dst
 			}
--- a/internal/rpc/auth.go
+++ b/internal/rpc/auth.go
@@ -26,7 +26,7 @@
 
 func (s *Server) identify(ctx context.Context) (*access.Client, bool) {
 	if name, ok := certificate(ctx); ok {
-		return s.opt.Book.Known(name)
+		return s.opt.Book.Lookup(name)
 	}
 	name, secret, ok := basic(ctx)
 	if !ok {
@@ -73,7 +73,7 @@
 	sum := config.HashSecret(secret)
 	for i := range s.opt.Domains {
 		d := &s.opt.Domains[i]
-		if d.Name == name && ok && user == name && subtle.ConstantTimeCompare(sum[:], d.Secret[:]) == 1 {
+		if d.Name == name && ok && user == name && subtle.ConstantTimeCompare(sum[:], d.SecretHash[:]) == 1 {
 			return d, true
 		}
 	}
--- a/internal/rpc/limits.go
+++ b/internal/rpc/limits.go
@@ -84,11 +84,11 @@
 		if !ok {
 			continue
 		}
-		most := uint64(s.opt.Book.MostUnits() / rule.Units)
+		most := uint64(s.opt.Book.MaxUnits() / rule.Units)
 		if hits > most {
 			return nil, fmt.Errorf("hits_addend %d, want %d at most for this descriptor", hits, most)
 		}
-		c := s.opt.Book.Limit(client, rule.Class, float64(hits)*float64(rule.Units))
+		c := s.opt.Book.LimitCall(client, rule.Class, float64(hits)*float64(rule.Units))
 		return &c, nil
 	}
 	return nil, nil
@@ -100,11 +100,11 @@
 			return nil, false
 		}
 	}
-	name, ok := values[rule.Customer]
+	name, ok := values[rule.CustomerKey]
 	if !ok {
 		return nil, false
 	}
-	return s.opt.Book.Known(name)
+	return s.opt.Book.Lookup(name)
 }
 
 // handBack returns what calls were admitted for.
@@ -116,14 +116,14 @@
 		}
 	}
 	if len(back) > 0 {
-		s.core.Return(back)
+		s.core.ReturnUnits(back)
 	}
 }
 
 // abandon gives up calls whose caller has left. Those that were admitted meanwhile are handed back; those
 // still waiting are the core's to end.
 func (s *Server) abandon(calls []*core.Call, back <-chan *core.Call) {
-	s.core.Gone(calls)
+	s.core.Disconnected(calls)
 	var got []*core.Call
 	for {
 		select {
@@ -143,12 +143,12 @@
 	for _, c := range calls {
 		st := &rlsv3.RateLimitResponse_DescriptorStatus{Code: rlsv3.RateLimitResponse_OK}
 		switch {
-		case c == nil && !d.Allow:
+		case c == nil && !d.AllowUnmatched:
 			st.Code = rlsv3.RateLimitResponse_OVER_LIMIT
 		case c == nil:
-		case c.Answer.Kind == core.Failed || c.Answer.Kind == core.Refused && c.Answer.Reason != core.NoRoom:
+		case c.Answer.Kind == core.Failed || c.Answer.Kind == core.Refused && c.Answer.Reason != core.NoCapacity:
 			s.handBack(asked)
-			return nil, status.Error(codes.Unavailable, c.Answer.Why) // no ruling: the caller's failure mode decides
+			return nil, status.Error(codes.Unavailable, c.Answer.Detail) // no ruling: the caller's failure mode decides
 		default:
 			a := &c.Answer
 			if a.Kind == core.Refused && c.Units > 0 {
@@ -157,9 +157,9 @@
 			if q := a.Quota; !math.IsInf(q.Burst, 1) {
 				rate := q.Rate
 				st.CurrentLimit = &rlsv3.RateLimitResponse_RateLimit{RequestsPerUnit: uint32(max(1, math.Round(rate))), Unit: rlsv3.RateLimitResponse_RateLimit_SECOND}
-				st.LimitRemaining = uint32(max(q.Room, 0))
+				st.LimitRemaining = uint32(max(q.Remaining, 0))
 				st.DurationUntilReset = seconds(q.ResetS)
-				if tight == nil || q.Room < tight.Quota.Room {
+				if tight == nil || q.Remaining < tight.Quota.Remaining {
 					tight = a
 				}
 			}
@@ -176,7 +176,7 @@
 		q := tight.Quota
 		out.ResponseHeadersToAdd = headers(q)
 		if out.OverallCode == rlsv3.RateLimitResponse_OVER_LIMIT {
-			out.ResponseHeadersToAdd = append(out.ResponseHeadersToAdd, header("retry-after", math.Max(1, math.Ceil(q.RetryS))))
+			out.ResponseHeadersToAdd = append(out.ResponseHeadersToAdd, header("retry-after", math.Max(1, math.Ceil(q.RetryAfterS))))
 		}
 	}
 	return out, nil
@@ -184,7 +184,7 @@
 
 // headers are those of the IETF's draft on rate limit headers, for the tightest quota.
 func headers(q core.Quota) []*corev3.HeaderValue {
-	return []*corev3.HeaderValue{header("ratelimit-limit", math.Floor(q.Burst)), header("ratelimit-remaining", math.Floor(max(q.Room, 0))),
+	return []*corev3.HeaderValue{header("ratelimit-limit", math.Floor(q.Burst)), header("ratelimit-remaining", math.Floor(max(q.Remaining, 0))),
 		header("ratelimit-reset", math.Ceil(max(q.ResetS, 0)))}
 }
 
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -62,14 +62,14 @@
 			s.held <- c
 			continue
 		case strings.Contains(text, "refuse"):
-			a = core.Answer{Kind: core.Refused, RetryS: 0.25, Why: "over quota"}
+			a = core.Answer{Kind: core.Refused, RetryAfterS: 0.25, Detail: "over quota"}
 		case strings.Contains(text, "fail"):
-			a = core.Answer{Kind: core.Failed, Why: "may have run"}
-		case c.Limit && c.Units <= s.room:
+			a = core.Answer{Kind: core.Failed, Detail: "may have run"}
+		case c.QuotaOnly && c.Units <= s.room:
 			s.room -= c.Units
-			a = core.Answer{Kind: core.Admitted, Quota: core.Quota{Rate: 10, Burst: 20, Room: s.room, ResetS: (20 - s.room) / 10}}
-		case c.Limit:
-			a = core.Answer{Kind: core.Refused, Quota: core.Quota{Rate: 10, Burst: 20, Room: s.room, RetryS: 0.3, ResetS: 2}}
+			a = core.Answer{Kind: core.Admitted, Quota: core.Quota{Rate: 10, Burst: 20, Remaining: s.room, ResetS: (20 - s.room) / 10}}
+		case c.QuotaOnly:
+			a = core.Answer{Kind: core.Refused, Quota: core.Quota{Rate: 10, Burst: 20, Remaining: s.room, RetryAfterS: 0.3, ResetS: 2}}
 		}
 		give(c, a)
 	}
@@ -81,9 +81,13 @@
 	c.Front.Answered([]*core.Call{c})
 }
 
-func (s *scripted) Gone(calls []*core.Call) { s.mu.Lock(); defer s.mu.Unlock(); s.gone += len(calls) }
+func (s *scripted) Disconnected(calls []*core.Call) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.gone += len(calls)
+}
 
-func (s *scripted) Return(calls []*core.Call) {
+func (s *scripted) ReturnUnits(calls []*core.Call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range calls {
@@ -221,8 +225,8 @@
 	if _, err := c.Do(soon, words("JOB.STATUS", "hold")); status.Code(err) != codes.DeadlineExceeded {
 		t.Fatal(err)
 	}
-	if k := <-s.held; k.WithinS <= 0 || k.WithinS > 0.3 {
-		t.Fatalf("the deadline came as %g s", k.WithinS)
+	if k := <-s.held; k.TimeoutS <= 0 || k.TimeoutS > 0.3 {
+		t.Fatalf("the deadline came as %g s", k.TimeoutS)
 	}
 	wait(t, func() bool { return s.left() == 1 })
 	ctx, stop := context.WithCancel(acme())
@@ -329,8 +333,8 @@
 	}
 	send(1, words("JOB.STATUS", "hold"))
 	held := <-s.held
-	if held.WithinS != 0.5 {
-		t.Errorf("within %g s", held.WithinS)
+	if held.TimeoutS != 0.5 {
+		t.Errorf("within %g s", held.TimeoutS)
 	}
 	send(2, words("SIGN.SUBMIT", "k2", "x"))
 	if r := recv(); r.GetId() != 2 || string(r.GetResponse().GetReply()) != "+did k2\r\n" {
@@ -476,7 +480,7 @@
 
 // A connection too many is closed; those that stand go on, and a place given back is taken again.
 func TestConnectionsAreBounded(t *testing.T) {
-	srv, _ := start(t, func(g *config.GRPC) { g.Connections = 1 })
+	srv, _ := start(t, func(g *config.GRPC) { g.MaxConnections = 1 })
 	first, second := dial(t, srv, nil), dial(t, srv, nil)
 	ask := func(c *grpc.ClientConn) error {
 		_, err := pb.NewGatewayClient(c).Do(acme(), words("JOB.STATUS", "1"))
@@ -485,8 +489,8 @@
 	if err := ask(first); err != nil {
 		t.Fatal(err)
 	}
-	if err := ask(second); status.Code(err) != codes.Unavailable || srv.Counts().Cut == 0 {
-		t.Fatal(err, srv.Counts().Cut)
+	if err := ask(second); status.Code(err) != codes.Unavailable || srv.Counts().RejectedConnections == 0 {
+		t.Fatal(err, srv.Counts().RejectedConnections)
 	}
 	if err := ask(first); err != nil {
 		t.Fatal(err)
@@ -545,7 +549,7 @@
 	a := &authority{t: t, dir: t.TempDir()}
 	ca, _ := a.issue("authority", false)
 	cert, key := a.issue("server", true)
-	srv, _ := start(t, func(g *config.GRPC) { g.Certificate, g.Key, g.CAs = cert, key, ca })
+	srv, _ := start(t, func(g *config.GRPC) { g.CertificateFile, g.KeyFile, g.ClientCAFile = cert, key, ca })
 	pool := x509.NewCertPool()
 	pool.AddCert(a.cert)
 	ask := func(ctx context.Context, change func(*tls.Config)) error {
@@ -588,7 +592,7 @@
 	if err := ask(context.Background(), forge); err == nil {
 		t.Error("a certificate of another authority was taken")
 	}
-	if _, err := Start(nil, Options{GRPC: config.GRPC{Certificate: "none", Key: "none"}}); err == nil {
+	if _, err := Start(nil, Options{GRPC: config.GRPC{CertificateFile: "none", KeyFile: "none"}}); err == nil {
 		t.Error("files that are not there")
 	}
 }
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -39,21 +39,21 @@
 // Core is what this front needs of the core.
 type Core interface {
 	Submit(calls []*core.Call) int
-	Gone(calls []*core.Call)
-	Return(calls []*core.Call)
+	Disconnected(calls []*core.Call)
+	ReturnUnits(calls []*core.Call)
 }
 
 // Options are the settings of a Server.
 type Options struct {
 	config.GRPC
-	Book *access.Book
+	Book *access.Registry
 	Log  zerolog.Logger
 }
 
 // Counts are totals since the start.
 type Counts struct {
-	Calls, Requests, Open, Denied uint64 // rpcs, requests of streams, streams open now, rpcs without credentials
-	Cut                           uint64 // connections closed because too many were open
+	Calls, StreamRequests, OpenStreams, DeniedCalls uint64 // rpcs, requests of streams, streams open now, rpcs without credentials
+	RejectedConnections                             uint64 // connections closed because too many were open
 }
 
 // Server is the gRPC front.
@@ -80,12 +80,12 @@
 func Start(c Core, opt Options) (*Server, error) {
 	s := &Server{opt: opt, core: c, drain: make(chan struct{}), health: health.NewServer()}
 	options := []grpc.ServerOption{
-		grpc.MaxConcurrentStreams(uint32(opt.Streams)), grpc.MaxRecvMsgSize(opt.Message),
+		grpc.MaxConcurrentStreams(uint32(opt.MaxStreams)), grpc.MaxRecvMsgSize(opt.MaxMessageBytes),
 		grpc.MaxHeaderListSize(16 << 10), grpc.ConnectionTimeout(10 * time.Second),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 30 * time.Second, Timeout: 10 * time.Second}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true}),
 	}
-	if opt.Certificate != "" {
+	if opt.CertificateFile != "" {
 		creds, err := transport(opt.GRPC)
 		if err != nil {
 			return nil, err
@@ -109,7 +109,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen on %s: %w", opt.Listen, err)
 	}
-	s.ln = &bounded{Listener: ln, most: int64(opt.Connections), cut: &s.cut, log: opt.Log}
+	s.ln = &bounded{Listener: ln, most: int64(opt.MaxConnections), cut: &s.cut, log: opt.Log}
 	s.served.Add(1)
 	go func() {
 		defer s.served.Done()
@@ -166,19 +166,19 @@
 
 // transport reads the files of TLS: 1.3 at least, and clients' certificates where an authority is given.
 func transport(g config.GRPC) (credentials.TransportCredentials, error) {
-	pair, err := tls.LoadX509KeyPair(g.Certificate, g.Key)
+	pair, err := tls.LoadX509KeyPair(g.CertificateFile, g.KeyFile)
 	if err != nil {
 		return nil, fmt.Errorf("TLS certificate: %w", err)
 	}
 	t := &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS13}
-	if g.CAs != "" {
-		raw, err := os.ReadFile(g.CAs)
+	if g.ClientCAFile != "" {
+		raw, err := os.ReadFile(g.ClientCAFile)
 		if err != nil {
 			return nil, fmt.Errorf("authority of clients: %w", err)
 		}
 		t.ClientCAs = x509.NewCertPool()
 		if !t.ClientCAs.AppendCertsFromPEM(raw) {
-			return nil, fmt.Errorf("authority of clients: %s holds no certificate in PEM", g.CAs)
+			return nil, fmt.Errorf("authority of clients: %s holds no certificate in PEM", g.ClientCAFile)
 		}
 		// Callers without one may still give credentials in metadata, as rate limit callers do.
 		t.ClientAuth = tls.VerifyClientCertIfGiven
@@ -235,16 +235,16 @@
 func ended(a *core.Answer) error {
 	switch a.Kind {
 	case core.Refused:
-		st := status.New(codes.ResourceExhausted, a.Why)
-		if a.RetryS > 0 {
-			with, err := st.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(time.Duration(a.RetryS * 1e9))})
+		st := status.New(codes.ResourceExhausted, a.Detail)
+		if a.RetryAfterS > 0 {
+			with, err := st.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(time.Duration(a.RetryAfterS * 1e9))})
 			if err == nil { // it fails for messages of no registered type alone
 				st = with
 			}
 		}
 		return st.Err()
 	case core.Failed:
-		return status.Error(codes.Unknown, a.Why)
+		return status.Error(codes.Unknown, a.Detail)
 	}
 	return nil
 }
@@ -255,7 +255,7 @@
 		return status.FromContextError(err).Err()
 	}
 	if t, ok := ctx.Deadline(); ok {
-		if c.WithinS = time.Until(t).Seconds(); c.WithinS <= 0 {
+		if c.TimeoutS = time.Until(t).Seconds(); c.TimeoutS <= 0 {
 			return status.Error(codes.DeadlineExceeded, "the deadline had passed on arrival; nothing was done")
 		}
 	}
@@ -268,7 +268,7 @@
 	case <-done:
 		return ended(&c.Answer)
 	case <-ctx.Done():
-		s.core.Gone([]*core.Call{c})
+		s.core.Disconnected([]*core.Call{c})
 		return status.FromContextError(ctx.Err()).Err()
 	}
 }
@@ -297,7 +297,7 @@
 		return core.Call{}, errors.New("no words, want a command of the settings with its further words")
 	}
 	words = append([][]byte{bytes.ToUpper(words[0])}, words[1:]...)
-	c, known, err := s.opt.Book.Work(client, words)
+	c, known, err := s.opt.Book.ParseCommand(client, words)
 	if err == nil && !known {
 		err = fmt.Errorf("unknown command %q", words[0][:min(len(words[0]), 64)])
 	}
--- a/internal/rpc/stream.go
+++ b/internal/rpc/stream.go
@@ -24,8 +24,8 @@
 	if !ok {
 		return errDenied
 	}
-	x := &exchange{s: s, st: st, back: make(chan *core.Call, s.opt.Ahead), out: make(chan *pb.StreamResponse, s.opt.Ahead),
-		places: make(chan struct{}, s.opt.Ahead), read: make(chan error, 1), under: map[*core.Call]uint64{}, taken: make(chan begun, s.opt.Ahead)}
+	x := &exchange{s: s, st: st, back: make(chan *core.Call, s.opt.MaxStreamRequests), out: make(chan *pb.StreamResponse, s.opt.MaxStreamRequests),
+		places: make(chan struct{}, s.opt.MaxStreamRequests), read: make(chan error, 1), under: map[*core.Call]uint64{}, taken: make(chan begun, s.opt.MaxStreamRequests)}
 	go func() { // ends with the stream: Recv fails once the handler has returned
 		x.read <- x.recv(func(r *pb.DoRequest) (core.Call, error) { return s.work(client, r) })
 	}()
@@ -74,11 +74,11 @@
 			x.out <- &pb.StreamResponse{Id: r.GetId(), Result: &pb.StreamResponse_Invalid{Invalid: err.Error()}}
 			continue
 		}
-		c.WithinS = float64(r.GetWithinMs()) / 1000
+		c.TimeoutS = float64(r.GetWithinMs()) / 1000
 		c.Front, c.Tag = waiter{}, x.back
 		x.taken <- begun{&c, r.GetId()}
 		if x.s.core.Submit([]*core.Call{&c}) == 0 {
-			c.Answer = core.Answer{Kind: core.Refused, Reason: core.Overfull, Why: "too many requests wait"}
+			c.Answer = core.Answer{Kind: core.Refused, Reason: core.Overloaded, Detail: "too many requests wait"}
 			x.back <- &c
 		}
 	}
@@ -98,7 +98,7 @@
 			gone = append(gone, c)
 		}
 		if len(gone) > 0 {
-			x.s.core.Gone(gone)
+			x.s.core.Disconnected(gone)
 		}
 	}()
 	ended, drain, drained := false, x.s.drain, false
@@ -150,9 +150,9 @@
 	r := &pb.StreamResponse{Id: id}
 	switch a.Kind {
 	case core.Refused:
-		r.Result = &pb.StreamResponse_Refused{Refused: &pb.Refusal{Why: a.Why, RetryMs: uint32(time.Duration(math.Ceil(a.RetryS * 1000)))}}
+		r.Result = &pb.StreamResponse_Refused{Refused: &pb.Refusal{Why: a.Detail, RetryMs: uint32(time.Duration(math.Ceil(a.RetryAfterS * 1000)))}}
 	case core.Failed:
-		r.Result = &pb.StreamResponse_Failed{Failed: &pb.Failure{Why: a.Why}}
+		r.Result = &pb.StreamResponse_Failed{Failed: &pb.Failure{Why: a.Detail}}
 	default:
 		r.Result = &pb.StreamResponse_Response{Response: &pb.DoResponse{Reply: a.Payload}}
 	}
--- a/internal/sexp/sexp.go
+++ b/internal/sexp/sexp.go
@@ -85,10 +85,10 @@
 
 // Field says how one named list within another is read.
 type Field struct {
-	Name     string
-	Required bool
-	Many     bool
-	Read     func(r *Reader, n *Node)
+	Name       string
+	Required   bool
+	Repeatable bool
+	Read       func(r *Reader, n *Node)
 }
 
 // Fields reads the named lists among items. Unknown, repeated and missing ones are errors.
@@ -107,7 +107,7 @@
 				names = append(names, f.Name)
 			}
 			r.Fail(n, where, "unknown %s, want one of: (%s ..)", n, strings.Join(names, " ..) ("))
-		case seen[name] && !known[i].Many:
+		case seen[name] && !known[i].Repeatable:
 			r.Fail(n, where+" "+name, "given twice, want it once")
 		default:
 			seen[name] = true
@@ -121,8 +121,8 @@
 	}
 }
 
-// One returns the only argument of a list.
-func (r *Reader) One(n *Node, want string) *Node {
+// SingleArg returns the only argument of a list.
+func (r *Reader) SingleArg(n *Node, want string) *Node {
 	if a := n.Args(); len(a) == 1 {
 		return a[0]
 	}
@@ -155,8 +155,8 @@
 	return x
 }
 
-// Whole reads a whole number within a range.
-func (r *Reader) Whole(n *Node, field string, lo, hi int) int {
+// Int reads a whole number within a range.
+func (r *Reader) Int(n *Node, field string, lo, hi int) int {
 	x := r.Number(n, field, float64(lo), float64(hi))
 	if x != float64(int(x)) {
 		r.Fail(n, field, "%s is no whole number, want %d to %d", n, lo, hi)
@@ -191,45 +191,45 @@
 	return zero
 }
 
-// TextField is a field that holds a name.
-func TextField(name string, required bool, to *string) Field {
-	return Field{name, required, false, func(r *Reader, n *Node) { *to = r.Name(r.One(n, "NAME"), name) }}
+// NameField is a field that holds a name.
+func NameField(name string, required bool, to *string) Field {
+	return Field{name, required, false, func(r *Reader, n *Node) { *to = r.Name(r.SingleArg(n, "NAME"), name) }}
 }
 
-// NumField is a field that holds a number.
-func NumField(name string, required bool, to *float64, lo, hi float64) Field {
-	return Field{name, required, false, func(r *Reader, n *Node) { *to = r.Number(r.One(n, "NUMBER"), name, lo, hi) }}
+// NumberField is a field that holds a number.
+func NumberField(name string, required bool, to *float64, lo, hi float64) Field {
+	return Field{name, required, false, func(r *Reader, n *Node) { *to = r.Number(r.SingleArg(n, "NUMBER"), name, lo, hi) }}
 }
 
 // IntField is a field that holds a whole number.
 func IntField(name string, required bool, to *int, lo, hi int) Field {
-	return Field{name, required, false, func(r *Reader, n *Node) { *to = r.Whole(r.One(n, "NUMBER"), name, lo, hi) }}
+	return Field{name, required, false, func(r *Reader, n *Node) { *to = r.Int(r.SingleArg(n, "NUMBER"), name, lo, hi) }}
 }
 
 // SecondsField is a field that holds a time, as seconds.
 func SecondsField(name string, required bool, to *float64, lo, hi time.Duration) Field {
 	return Field{name, required, false, func(r *Reader, n *Node) {
-		*to = r.Duration(r.One(n, "TIME"), name, lo, hi).Seconds()
+		*to = r.Duration(r.SingleArg(n, "TIME"), name, lo, hi).Seconds()
 	}}
 }
 
-// TimeField is a field that holds a time.
-func TimeField(name string, required bool, to *time.Duration, lo, hi time.Duration) Field {
-	return Field{name, required, false, func(r *Reader, n *Node) { *to = r.Duration(r.One(n, "TIME"), name, lo, hi) }}
+// DurationField is a field that holds a time.
+func DurationField(name string, required bool, to *time.Duration, lo, hi time.Duration) Field {
+	return Field{name, required, false, func(r *Reader, n *Node) { *to = r.Duration(r.SingleArg(n, "TIME"), name, lo, hi) }}
 }
 
 // ChoiceField is a field that holds one of several words.
 func ChoiceField[T any](name string, required bool, to *T, words []string, values []T) Field {
 	return Field{name, required, false, func(r *Reader, n *Node) {
-		*to = Choice(r, r.One(n, strings.Join(words, "|")), name, words, values)
+		*to = Choice(r, r.SingleArg(n, strings.Join(words, "|")), name, words, values)
 	}}
 }
 
 // Parse reads a text; path is used in errors.
 func Parse(path, text string) (*File, error) { return parser.ParseString(path, text) }
 
-// Named reads the name that a list begins with and returns it with the rest.
-func (r *Reader) Named(n *Node) (string, []*Node) {
+// NameAndArgs reads the name that a list begins with and returns it with the rest.
+func (r *Reader) NameAndArgs(n *Node) (string, []*Node) {
 	if len(n.Args()) == 0 {
 		r.Fail(n, n.Head(), "holds nothing, want (%s NAME ..)", n.Head())
 		return "", nil
--- a/internal/standin/eds.go
+++ b/internal/standin/eds.go
@@ -119,7 +119,7 @@
 		version, list, changed := eds.version, eds.lists[eds.version], eds.changed
 		eds.mu.Unlock()
 		if version > sent {
-			a, err := discovery.Assignment(eds.cluster, list)
+			a, err := discovery.NewAssignment(eds.cluster, list)
 			if err != nil {
 				return err
 			}
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -176,7 +176,7 @@
 
 // ValueReply returns a successful reply whose value contains the request's id.
 func ValueReply(s ReceivedCommand) []byte {
-	out := resp.AppendBulk(resp.AppendArray(nil, 3), "value of "+s.Words[2])
+	out := resp.AppendBulk(resp.AppendArrayHeader(nil, 3), "value of "+s.Words[2])
 	return append(out, "$-1\r\n$-1\r\n"...)
 }
 
@@ -243,7 +243,7 @@
 	var in []byte
 	buf := make([]byte, 16<<10)
 	for {
-		args, used, _, err := resp.Command(in, nil, resp.DefaultLimits)
+		args, used, _, err := resp.ParseCommand(in, nil, resp.DefaultLimits)
 		if err == nil {
 			s := ReceivedCommand{Conn: n}
 			for _, a := range args {
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -165,7 +165,7 @@
 	chunk := make([]byte, 16<<10)
 	name, version := "", 2
 	for {
-		args, n, _, err := resp.Command(buf, nil, resp.DefaultLimits)
+		args, n, _, err := resp.ParseCommand(buf, nil, resp.DefaultLimits)
 		if errors.Is(err, resp.ErrIncomplete) {
 			m, err := c.Read(chunk)
 			if err != nil {
@@ -195,7 +195,7 @@
 			if words[1] == "3" {
 				version = 3
 			}
-			r.text = resp.AppendMap(nil, version, 0)
+			r.text = resp.AppendMapHeader(nil, version, 0)
 		case words[0] == "PING":
 			r.text = []byte("+PONG\r\n")
 		case words[0] == "INFO":
@@ -358,7 +358,7 @@
 	jobs := map[string]Job{}
 	for _, k := range c.Commands {
 		class := c.Classes[k.Class]
-		jobs[k.Name] = Job{Work: share * class.TargetLatencyS, KeyAt: k.KeyAt, KeyTTLS: class.KeyTTLS}
+		jobs[k.Name] = Job{Work: share * class.TargetLatencyS, KeyAt: k.KeyIndex, KeyTTLS: class.KeyTTLS}
 	}
 	return jobs
 }
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -80,8 +80,8 @@
 var scopes = map[string]policy.KeyScope{"": policy.ScopeAll, "all": policy.ScopeAll, "zone": policy.ScopeZone,
 	"cell": policy.ScopeCell}
 
-// Terms are the settings of an instance: those of the module, and what the network's side needs besides.
-type Terms struct {
+// Settings are the settings of an instance: those of the module, and what the network's side needs besides.
+type Settings struct {
 	policy.Settings
 	ConnIdleS    float64 // a server closes a connection that stood idle for so long, seconds; 0: never
 	DialTimeoutS float64 // until a connection stands, seconds
@@ -89,14 +89,14 @@
 	MostHeld     int     // requests that an instance may have open, 0: not bounded
 }
 
-// Read translates the settings. It tells which part has the wrong form; whether the module's part makes sense is for
+// Parse translates the settings. It tells which part has the wrong form; whether the module's part makes sense is for
 // policy.New to say.
-func Read(text []byte) (Terms, error) {
+func Parse(text []byte) (Settings, error) {
 	var w object
 	if err := json.Unmarshal(text, &w); err != nil {
-		return Terms{}, err
+		return Settings{}, err
 	}
-	t := Terms{ConnIdleS: w.Limits.ConnIdleS, DialTimeoutS: w.Limits.DialTimeoutS, Multiplex: w.Limits.Multiplex,
+	t := Settings{ConnIdleS: w.Limits.ConnIdleS, DialTimeoutS: w.Limits.DialTimeoutS, Multiplex: w.Limits.Multiplex,
 		MostHeld: w.Limits.MostHeld}
 	t.Settings = policy.Settings{
 		Self: w.Me, Gateways: w.Balancers, Zone: w.MyZone,
--- a/internal/terms/terms_test.go
+++ b/internal/terms/terms_test.go
@@ -10,7 +10,7 @@
 
 func TestRead(t *testing.T) {
 	good := standin.PlatformSettings(1, 3)
-	s, err := Read([]byte(good))
+	s, err := Parse([]byte(good))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,7 +27,7 @@
 		t.Errorf("%+v, %+v", s.Classes, s.Plans)
 	}
 	for old, with := range map[string]string{`"dedup"`: `"once"`, `"zone"`: `"house"`, `"balancers":3`: `"balancers":"3"`, `{"balancers"`: `["balancers"`} {
-		if _, err := Read([]byte(strings.Replace(good, old, with, 1))); err == nil {
+		if _, err := Parse([]byte(strings.Replace(good, old, with, 1))); err == nil {
 			t.Errorf("%s is taken", with)
 		}
 	}
