--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -19,67 +19,67 @@
 type Options struct {
 	Seed        uint64
 	Duration    time.Duration
-	IdleClients bool // idle clients fill the descriptors
-	// Program is an ingress that reads EDGE_CONFIG and keeps to EDGE_NOFILE descriptors, with its environment; it calls
-	// faults.Trap.
+	IdleClients bool // idle connections use up the file descriptors of the ingresses
+	// Program returns the command of an ingress with its environment. The program reads EDGE_CONFIG, limits itself to
+	// EDGE_NOFILE descriptors and calls faults.Trap.
 	Program func() *exec.Cmd
-	Folder  string // for configurations
+	Folder  string // for the configuration files
 }
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Violations   []Violation
 	Sent, Served int
-	FailedCalls  int      // calls that were made to fail
-	Events       []string // what happened when
-	Logs         []string // of the ingresses, their ends
+	FailedCalls  int      // system calls that were made to fail
+	Events       []string // the events of the run with their times
+	Logs         []string // the last part of each ingress's log
 }
 
-// fleet is a run under way.
+// fleet is the state of one run.
 type fleet struct {
 	deployment
-	seed    uint64
-	record  *Record
-	program func() *exec.Cmd
-	members []*ingress
-	end     time.Time
-	lastID  atomic.Uint64
-	work    sync.WaitGroup // troubles that go on by themselves
+	seed        uint64
+	record      *Record
+	program     func() *exec.Cmd
+	ingressList []*ingress
+	end         time.Time
+	lastID      atomic.Uint64
+	background  sync.WaitGroup // faults that end by themselves, in the background
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	servers []*server // listed, in order of their start
-	gone    []*server // not listed any more, and serving on
-	drains  []pendingDrain
-	named   int
+	mu          sync.Mutex
+	rng         *rand.Rand
+	servers     []*server // on the list, in order of their start
+	delisted    []*server // drained; they still serve requests
+	drains      []pendingDrain
+	serverCount int
 }
 
-// pendingDrain is a drain that each ingress is told of by a version of the list.
+// pendingDrain is a drain together with the list versions that announce it to each ingress.
 type pendingDrain struct {
 	server   string
-	versions [][2]uint64 // by ingress and discovery
+	versions [][2]uint64 // by ingress and discovery server
 	at       time.Time
 }
 
-// Sizes of a fleet.
+// Sizes of a fleet and of its load.
 const (
-	serversAtStart = 4
-	clientsEach    = 6 // of an ingress
-	crowdEach      = 200
+	initialServers            = 4
+	clientsPerIngress         = 6 // for each ingress
+	idleConnectionsPerIngress = 200
 )
 
-// Run plays one run and judges it.
+// Run carries out one run and checks it against the rules.
 func Run(o Options) (*Report, error) {
 	rng := rand.New(rand.NewPCG(o.Seed, 7))
 	f := &fleet{deployment: drawDeployment(rng, o.IdleClients), seed: o.Seed, program: o.Program, rng: rng}
-	f.record = &Record{Crowd: o.IdleClients, start: time.Now(), lives: make([][]*Life, f.ingresses)}
+	f.record = &Record{IdleClients: o.IdleClients, start: time.Now(), processes: make([][]*Process, f.ingresses)}
 	defer f.close()
-	for range serversAtStart {
+	for range initialServers {
 		if err := f.addServer(); err != nil {
 			return nil, err
 		}
 	}
-	if err := f.begin(o.Folder); err != nil {
+	if err := f.startAll(o.Folder); err != nil {
 		return nil, err
 	}
 	f.record.start = time.Now()
@@ -89,27 +89,27 @@
 	f.resolveDrains()
 	r := &Report{FailedCalls: failed, Events: f.record.events}
 	r.Violations, r.Sent, r.Served = f.record.Judge()
-	for _, n := range f.members {
-		r.Logs = append(r.Logs, n.log.String())
+	for _, ing := range f.ingressList {
+		r.Logs = append(r.Logs, ing.log.String())
 	}
 	return r, err
 }
 
-// play has clients ask while troubles come, until the end.
+// play runs the clients and the faults until the end of the run.
 func (f *fleet) play(o Options) error {
 	stopped := make(chan struct{})
 	var work sync.WaitGroup
 	work.Add(1)
 	go func() {
 		defer work.Done()
-		f.record.watchOwnStalls(stopped)
+		f.record.watchOwnPauses(stopped)
 	}()
-	var crowd []net.Conn
+	var idleConnections []net.Conn
 	if o.IdleClients {
-		crowd = f.crowd()
+		idleConnections = f.openIdleConnections()
 	}
 	var clients sync.WaitGroup
-	for i := range clientsEach * f.ingresses {
+	for i := range clientsPerIngress * f.ingresses {
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
@@ -117,10 +117,10 @@
 			c.run()
 		}()
 	}
-	err := f.troubles()
+	err := f.playFaults()
 	clients.Wait()
-	f.work.Wait()
-	for _, c := range crowd {
+	f.background.Wait()
+	for _, c := range idleConnections {
 		c.Close()
 	}
 	close(stopped)
@@ -128,8 +128,8 @@
 	return err
 }
 
-// begin starts all ingresses.
-func (f *fleet) begin(folder string) error {
+// startAll creates and starts all ingresses.
+func (f *fleet) startAll(folder string) error {
 	var peers []string
 	for range f.ingresses {
 		addr, err := freeUDP()
@@ -139,8 +139,8 @@
 		peers = append(peers, addr)
 	}
 	for i := range f.ingresses {
-		n := &ingress{fleet: f, number: i}
-		f.members = append(f.members, n)
+		ing := &ingress{fleet: f, number: i}
+		f.ingressList = append(f.ingressList, ing)
 		listen, err := freeTCP()
 		if err != nil {
 			return err
@@ -149,102 +149,103 @@
 		if err := os.MkdirAll(home, 0o700); err != nil {
 			return fmt.Errorf("soak: %w", err)
 		}
-		n.cfg = &configuration{folder: home, listen: listen, peerListen: peers[i], peers: peers}
-		for k := range n.roster {
-			if n.roster[k], err = standin.NewPlatformDiscovery(f.hosts(i)...); err != nil {
+		ing.cfg = &configuration{folder: home, listen: listen, peerListen: peers[i], peers: peers}
+		for k := range ing.discovery {
+			if ing.discovery[k], err = standin.NewPlatformDiscovery(f.hosts(i)...); err != nil {
 				return err
 			}
 		}
 	}
-	errs := make([]error, len(f.members))
+	errs := make([]error, len(f.ingressList))
 	var work sync.WaitGroup
-	for i, n := range f.members {
+	for i, ing := range f.ingressList {
 		work.Add(1)
 		go func() {
 			defer work.Done()
-			errs[i] = n.start()
+			errs[i] = ing.start()
 		}()
 	}
 	work.Wait()
 	return errors.Join(errs...)
 }
 
-// stop ends all processes, and tells how many calls were made to fail.
+// stop ends all processes, and returns how many system calls were made to fail.
 func (f *fleet) stop() (failed int) {
-	for _, n := range f.members {
-		n.stop()
+	for _, ing := range f.ingressList {
+		ing.stop()
 	}
-	for _, n := range f.members {
-		failed += n.failed
+	for _, ing := range f.ingressList {
+		failed += ing.failedCalls
 	}
 	return failed
 }
 
+// close ends all ingresses and servers.
 func (f *fleet) close() {
-	for _, n := range f.members {
-		n.stop()
+	for _, ing := range f.ingressList {
+		ing.stop()
 	}
-	for _, s := range append(f.servers, f.gone...) {
+	for _, s := range append(f.servers, f.delisted...) {
 		s.close()
 	}
 }
 
-// over tells that clients begin no more requests.
-func (f *fleet) over() bool { return time.Now().After(f.end) }
+// finished reports whether the run is over, so that clients send no more requests.
+func (f *fleet) finished() bool { return time.Now().After(f.end) }
 
 func (f *fleet) newID() string { return fmt.Sprintf("%016x", f.lastID.Add(1)) }
 
-// draw returns a number from 0 up to below n.
+// draw returns a random number in [0, n).
 func (f *fleet) draw(n int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.rng.IntN(n)
 }
 
-// mark changes what the record holds.
-func (f *fleet) mark(change func()) {
+// updateRecord calls change with the record's lock held.
+func (f *fleet) updateRecord(change func()) {
 	f.record.mu.Lock()
 	defer f.record.mu.Unlock()
 	change()
 }
 
-// pick returns an ingress that the front sends clients to, and which of its processes runs; nil if there is none.
+// pick returns an ingress that accepts clients and the number of its current process; nil if there is none.
 func (f *fleet) pick(rng *rand.Rand) (*ingress, int) {
-	from := rng.IntN(len(f.members))
-	for k := range f.members {
-		n := f.members[(from+k)%len(f.members)]
-		n.mu.Lock()
-		ok, life := n.inFront && time.Now().After(n.outUntil), len(n.lives)-1
-		n.mu.Unlock()
+	from := rng.IntN(len(f.ingressList))
+	for k := range f.ingressList {
+		ing := f.ingressList[(from+k)%len(f.ingressList)]
+		ing.mu.Lock()
+		ok, process := ing.accepting && time.Now().After(ing.refusingUntil), len(ing.processes)-1
+		ing.mu.Unlock()
 		if ok {
-			return n, life
+			return ing, process
 		}
 	}
 	return nil, 0
 }
 
-// crowd opens idle connections to every ingress.
-func (f *fleet) crowd() (list []net.Conn) {
-	for _, n := range f.members {
-		for range crowdEach {
-			if c, err := net.DialTimeout("tcp", n.cfg.listen, dialTimeout); err == nil {
+// openIdleConnections opens idle connections to all ingresses.
+func (f *fleet) openIdleConnections() (list []net.Conn) {
+	for _, ing := range f.ingressList {
+		for range idleConnectionsPerIngress {
+			if c, err := net.DialTimeout("tcp", ing.cfg.listen, dialTimeout); err == nil {
 				list = append(list, c)
 			}
 		}
 	}
-	f.record.note("crowd: %d idle connections", len(list))
+	f.record.note("opened %d idle connections", len(list))
 	return list
 }
 
-// Stalls of this process of which times near them are not judged.
+// A pause of this process by at least minPause makes its own times unreliable: times near it are not judged.
 const (
-	stallLook  = 10 * time.Millisecond
-	stallLeast = 30 * time.Millisecond
+	pauseCheckInterval = 10 * time.Millisecond
+	minPause           = 30 * time.Millisecond
 )
 
-// watchOwnStalls notes when this process stood still: then what it saw may be older than it seems.
-func (r *Record) watchOwnStalls(stopped <-chan struct{}) {
-	tick := time.NewTicker(stallLook)
+// watchOwnPauses records when this process was paused, since events it saw then may have happened earlier than recorded.
+func (r *Record) watchOwnPauses(stopped <-chan struct{}) {
+	tick := time.NewTicker(pauseCheckInterval)
 	defer tick.Stop()
 	last := time.Now()
 	for {
@@ -254,13 +255,14 @@
 		case <-tick.C:
 		}
 		now := time.Now()
-		if now.Sub(last) > stallLook+stallLeast {
-			r.blur(Span{last, now.Add(stallLook)})
+		if now.Sub(last) > pauseCheckInterval+minPause {
+			r.addPause(Span{last, now.Add(pauseCheckInterval)})
 		}
 		last = now
 	}
 }
 
+// freeTCP returns a free TCP address on loopback.
 func freeTCP() (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -270,6 +272,7 @@
 	return ln.Addr().String(), nil
 }
 
+// freeUDP returns a free UDP address on loopback.
 func freeUDP() (string, error) {
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -27,82 +27,84 @@
 	BornMS int64   `json:"born_ms"`
 }
 
-// PlatformDiscovery stands in for the platform's discovery: HTTP with a long poll.
+// PlatformDiscovery is a stand-in for the platform's discovery server, which is polled over HTTP with long polls.
 type PlatformDiscovery struct {
-	addr string
-	srv  *http.Server
+	addr       string
+	httpServer *http.Server
 
-	mu      sync.Mutex
-	seq     uint64
-	hosts   []PlatformHost
-	changed chan struct{}
-	calls   []string
-	spoil   func(w http.ResponseWriter, r *http.Request) bool
-	told    map[uint64]time.Time // when each version was first written
+	mu            sync.Mutex
+	seq           uint64
+	hosts         []PlatformHost
+	changed       chan struct{}
+	requestURIs   []string
+	intercept     func(w http.ResponseWriter, r *http.Request) bool
+	firstServedAt map[uint64]time.Time // when each version was first sent to a caller
 }
 
-// NewPlatformDiscovery serves a list at a free address of loopback.
+// NewPlatformDiscovery serves a list on a free loopback address.
 func NewPlatformDiscovery(hosts ...PlatformHost) (*PlatformDiscovery, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("roster: %w", err)
+		return nil, fmt.Errorf("platform discovery stand-in: %w", err)
 	}
-	r := &PlatformDiscovery{addr: ln.Addr().String(), seq: 1, hosts: hosts, changed: make(chan struct{}), told: map[uint64]time.Time{}}
-	r.srv = &http.Server{Handler: http.HandlerFunc(r.serve)}
-	go func() { _ = r.srv.Serve(ln) }() // ends with Close
+	r := &PlatformDiscovery{addr: ln.Addr().String(), seq: 1, hosts: hosts, changed: make(chan struct{}),
+		firstServedAt: map[uint64]time.Time{}}
+	r.httpServer = &http.Server{Handler: http.HandlerFunc(r.serve)}
+	go func() { _ = r.httpServer.Serve(ln) }() // ends with Close
 	return r, nil
 }
 
-// Addr is where it is reached.
-func (r *PlatformDiscovery) Addr() string { return r.addr }
+// Addr returns the address that it listens on.
+func (discovery *PlatformDiscovery) Addr() string { return discovery.addr }
 
-// SetHosts replaces the list, and returns its version.
-func (r *PlatformDiscovery) SetHosts(hosts ...PlatformHost) (version uint64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.seq++
-	r.hosts = hosts
-	close(r.changed)
-	r.changed = make(chan struct{})
-	return r.seq
+// SetHosts replaces the list and returns its version.
+func (discovery *PlatformDiscovery) SetHosts(hosts ...PlatformHost) (version uint64) {
+	discovery.mu.Lock()
+	defer discovery.mu.Unlock()
+	discovery.seq++
+	discovery.hosts = hosts
+	close(discovery.changed)
+	discovery.changed = make(chan struct{})
+	return discovery.seq
 }
 
-// FirstServedAt is when a list of that version or a newer one was first written to a caller, false if none was.
-func (r *PlatformDiscovery) FirstServedAt(version uint64) (at time.Time, told bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for v, t := range r.told {
-		if v >= version && (!told || t.Before(at)) {
-			at, told = t, true
+// FirstServedAt returns when a list of that version or a newer one was first sent to a caller, false if none was.
+func (discovery *PlatformDiscovery) FirstServedAt(version uint64) (at time.Time, served bool) {
+	discovery.mu.Lock()
+	defer discovery.mu.Unlock()
+	for v, t := range discovery.firstServedAt {
+		if v >= version && (!served || t.Before(at)) {
+			at, served = t, true
 		}
 	}
-	return at, told
+	return at, served
 }
 
-// Intercept has f answer calls for which it returns true; nil for none.
-func (r *PlatformDiscovery) Intercept(f func(w http.ResponseWriter, req *http.Request) bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.spoil = f
+// Intercept sets a function that sees each call first. If it returns true, it has answered the call. nil: no function.
+func (discovery *PlatformDiscovery) Intercept(f func(w http.ResponseWriter, req *http.Request) bool) {
+	discovery.mu.Lock()
+	defer discovery.mu.Unlock()
+	discovery.intercept = f
 }
 
-// Calls are the calls so far, each as its path with its query.
-func (r *PlatformDiscovery) Calls() []string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return append([]string(nil), r.calls...)
+// Calls returns the request URIs of the first 1000 calls.
+func (discovery *PlatformDiscovery) Calls() []string {
+	discovery.mu.Lock()
+	defer discovery.mu.Unlock()
+	return append([]string(nil), discovery.requestURIs...)
 }
 
-// Close ends it and its connections.
-func (r *PlatformDiscovery) Close() { _ = r.srv.Close() }
+// Close stops the server and closes its connections.
+func (discovery *PlatformDiscovery) Close() { _ = discovery.httpServer.Close() }
 
-func (r *PlatformDiscovery) serve(w http.ResponseWriter, req *http.Request) {
-	r.mu.Lock()
-	if len(r.calls) < 1000 {
-		r.calls = append(r.calls, req.URL.RequestURI())
+// serve answers one call. A caller that has the current version waits for a newer one until its timeout.
+func (discovery *PlatformDiscovery) serve(w http.ResponseWriter, req *http.Request) {
+	discovery.mu.Lock()
+	if len(discovery.requestURIs) < 1000 {
+		discovery.requestURIs = append(discovery.requestURIs, req.URL.RequestURI())
 	}
-	spoil, changed, seq := r.spoil, r.changed, r.seq
-	r.mu.Unlock()
+	spoil, changed, seq := discovery.intercept, discovery.changed, discovery.seq
+	discovery.mu.Unlock()
 	if spoil != nil && spoil(w, req) {
 		return
 	}
@@ -117,119 +119,127 @@
 			return
 		}
 	}
-	r.mu.Lock()
-	version, text := r.seq, r.list()
-	if _, before := r.told[version]; !before {
-		r.told[version] = time.Now()
+	discovery.mu.Lock()
+	version, text := discovery.seq, discovery.encodeList()
+	if _, before := discovery.firstServedAt[version]; !before {
+		discovery.firstServedAt[version] = time.Now()
 	}
-	r.mu.Unlock()
+	discovery.mu.Unlock()
 	_, _ = w.Write(text)
 }
 
-// List is the whole list as it is served.
-func (r *PlatformDiscovery) List() string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return string(r.list())
+// List returns the complete list as JSON, as it is served.
+func (discovery *PlatformDiscovery) List() string {
+	discovery.mu.Lock()
+	defer discovery.mu.Unlock()
+	return string(discovery.encodeList())
 }
 
-// list is List with the lock held.
-func (r *PlatformDiscovery) list() []byte {
-	text, err := json.Marshal(map[string]any{"seq": r.seq, "whole": true, "hosts": r.hosts})
+// encodeList encodes the list. It is called with mu held.
+func (discovery *PlatformDiscovery) encodeList() []byte {
+	text, err := json.Marshal(map[string]any{"seq": discovery.seq, "whole": true, "hosts": discovery.hosts})
 	if err != nil {
-		panic(err) // the type has no part that can't be written
+		panic(err) // every field of the type can be encoded
 	}
 	return text
 }
 
-// ReceivedCommand is a command that a PlatformBackend took.
+// ReceivedCommand is a command that a PlatformBackend received.
 type ReceivedCommand struct {
 	Conn  int // the connection's number
 	Words []string
 }
 
-// PlatformBackend stands in for a backend of the platform. Each command is answered by Answer, which may wait, write
-// what it likes and close the connection; commands of one connection are answered in turn.
+// PlatformBackend is a stand-in for a backend of the platform. A function answers each command; it may wait, write anything and
+// close the connection. The commands of one connection are answered one after the other.
 type PlatformBackend struct {
-	ln     net.Listener
-	work   sync.WaitGroup
-	answer func(c net.Conn, s ReceivedCommand)
+	listener   net.Listener
+	goroutines sync.WaitGroup
+	answer     func(c net.Conn, s ReceivedCommand)
 
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
-	count int
+	total int
 }
 
-// NewPlatformBackend listens at a free address of loopback.
+// NewPlatformBackend starts a backend on a free loopback address.
 func NewPlatformBackend(answer func(c net.Conn, s ReceivedCommand)) (*PlatformBackend, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("backend: %w", err)
 	}
-	b := &PlatformBackend{ln: ln, answer: answer, conns: map[net.Conn]struct{}{}}
-	b.work.Add(1)
+	b := &PlatformBackend{listener: ln, answer: answer, conns: map[net.Conn]struct{}{}}
+	b.goroutines.Add(1)
 	go b.accept()
 	return b, nil
 }
 
-// ValueReply is the answer that holds the request's id as its value.
+// ValueReply returns a successful reply whose value contains the request's id.
 func ValueReply(s ReceivedCommand) []byte {
 	out := resp.AppendBulk(resp.AppendArrayHeader(nil, 3), "value of "+s.Words[2])
 	return append(out, "$-1\r\n$-1\r\n"...)
 }
 
-// Addr is where it is reached.
-func (b *PlatformBackend) Addr() string { return b.ln.Addr().String() }
+// Addr returns the address that it listens on.
+func (backend *PlatformBackend) Addr() string { return backend.listener.Addr().String() }
 
-// OpenConnections and Count tell how many connections stand, and how many there were.
-func (b *PlatformBackend) OpenConnections() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.conns)
+// OpenConnections returns the number of open connections.
+func (backend *PlatformBackend) OpenConnections() int {
+	backend.mu.Lock()
+	defer backend.mu.Unlock()
+	return len(backend.conns)
 }
-func (b *PlatformBackend) TotalConnections() int { b.mu.Lock(); defer b.mu.Unlock(); return b.count }
 
-// CloseConnections closes all connections; new ones are taken.
-func (b *PlatformBackend) CloseConnections() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for c := range b.conns {
+// TotalConnections returns the number of connections accepted so far.
+func (backend *PlatformBackend) TotalConnections() int {
+	backend.mu.Lock()
+	defer backend.mu.Unlock()
+	return backend.total
+}
+
+// CloseConnections closes all connections. New ones are still accepted.
+func (backend *PlatformBackend) CloseConnections() {
+	backend.mu.Lock()
+	defer backend.mu.Unlock()
+	for c := range backend.conns {
 		c.Close()
 	}
 }
 
-// Close ends it and waits for what runs.
-func (b *PlatformBackend) Close() {
-	b.ln.Close()
-	b.CloseConnections()
-	b.work.Wait()
+// Close stops the backend and waits for its goroutines.
+func (backend *PlatformBackend) Close() {
+	backend.listener.Close()
+	backend.CloseConnections()
+	backend.goroutines.Wait()
 }
 
-func (b *PlatformBackend) accept() {
-	defer b.work.Done()
+// accept serves connections until the listener is closed.
+func (backend *PlatformBackend) accept() {
+	defer backend.goroutines.Done()
 	for {
-		c, err := b.ln.Accept()
+		c, err := backend.listener.Accept()
 		if err != nil {
 			return
 		}
-		b.mu.Lock()
-		b.conns[c] = struct{}{}
-		b.count++
-		n := b.count
-		b.mu.Unlock()
-		b.work.Add(1)
+		backend.mu.Lock()
+		backend.conns[c] = struct{}{}
+		backend.total++
+		n := backend.total
+		backend.mu.Unlock()
+		backend.goroutines.Add(1)
 		go func() {
-			defer b.work.Done()
-			b.serve(c, n)
+			defer backend.goroutines.Done()
+			backend.serve(c, n)
 			c.Close()
-			b.mu.Lock()
-			delete(b.conns, c)
-			b.mu.Unlock()
+			backend.mu.Lock()
+			delete(backend.conns, c)
+			backend.mu.Unlock()
 		}()
 	}
 }
 
-func (b *PlatformBackend) serve(c net.Conn, n int) {
+// serve answers the commands of one connection. It answers INFO itself.
+func (backend *PlatformBackend) serve(c net.Conn, n int) {
 	var in []byte
 	buf := make([]byte, 16<<10)
 	for {
@@ -243,7 +253,7 @@
 			if strings.EqualFold(s.Words[0], "INFO") {
 				_, _ = c.Write(resp.AppendBulk(nil, "util=0.50,latency_ms=2"))
 			} else {
-				b.answer(c, s)
+				backend.answer(c, s)
 			}
 			continue
 		}
@@ -255,7 +265,7 @@
 	}
 }
 
-// PlatformSettings is a settings object of the platform with three classes and two plans.
+// PlatformSettings returns a settings object of the platform with three classes and two plans.
 func PlatformSettings(me, ingresses int) string {
 	return fmt.Sprintf(`{"balancers":%d,"me":%d,"myZone":"room-a","tickS":0.002,
 "familyInfo":{"maxUnits":4,"peerIntake":40},"feedback":{"fields":["svc_ms","cpu_share"],"how":"probe"},
