--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -14,9 +14,9 @@
 
 	"github.com/rs/zerolog"
 
+	"cometpond/internal/connpool"
 	"cometpond/internal/core"
 	"cometpond/internal/eventloop"
-	"cometpond/internal/links"
 	"cometpond/internal/resp"
 	"cometpond/policy"
 )
@@ -219,7 +219,7 @@
 		listed[entry.ID] = true
 		if srv := pool.servers[entry.ID]; srv == nil {
 			srv = &server{pool: pool, name: entry.ID, addr: cmp.Or(pool.addresses[entry.ID], entry.ID)}
-			srv.conns = links.New(links.Limits{Connections: pool.opt.Connections, Pipeline: pool.opt.Pipeline,
+			srv.conns = connpool.New(connpool.Limits{Connections: pool.opt.Connections, Pipeline: pool.opt.Pipeline,
 				ReuseDelayS: pool.opt.ReuseDelayS, IdleTimeoutS: pool.opt.IdleTimeoutS}, (*effects)(srv))
 			pool.servers[entry.ID] = srv
 		}
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -1,9 +1,9 @@
 package backend
 
 import (
+	"cometpond/internal/connpool"
 	"cometpond/internal/core"
 	"cometpond/internal/eventloop"
-	"cometpond/internal/links"
 	"cometpond/internal/resp"
 	"cometpond/policy"
 )
@@ -21,7 +21,7 @@
 	closed    bool            // used only by the loop's goroutine
 	greetings int             // replies to the greeting still to come; only for a probe connection
 	usedAt    float64         // when a probe connection was last used; protected by the server's lock
-	state     *links.Conn     // its state in links.Pool; nil for a probe connection
+	state     *connpool.Conn  // its state in links.Pool; nil for a probe connection
 }
 
 // queuedAttempt is an attempt that is about to be written.
@@ -37,7 +37,7 @@
 func (e *effects) Dial() { (*server)(e).dial(false) }
 
 // Write passes an attempt to the connection's event loop. If the connection ends first, OnClose handles the attempt.
-func (e *effects) Write(state *links.Conn, attempt core.AttemptID, payload []byte) {
+func (e *effects) Write(state *connpool.Conn, attempt core.AttemptID, payload []byte) {
 	conn := state.Handle.(*connection)
 	if conn.outgoing = append(conn.outgoing, queuedAttempt{attempt, payload}); len(conn.outgoing) == 1 {
 		_ = conn.socket.Loop().Execute(conn.flush) // an error means that the loops are stopping: OnClose follows
@@ -45,7 +45,7 @@
 }
 
 // Close has the connection's event loop close it. OnClose follows.
-func (e *effects) Close(state *links.Conn) { state.Handle.(*connection).socket.Close() }
+func (e *effects) Close(state *connpool.Conn) { state.Handle.(*connection).socket.Close() }
 
 // flush writes the queued attempts in the event loop, with one call. Whether an attempt is still to be written is decided
 // only here, immediately before the write, as the process may have been paused since the attempt was queued.
@@ -159,11 +159,11 @@
 		attempt, kind := conn.server.conns.MatchReply(pool.now(), conn.state)
 		conn.server.mu.Unlock()
 		switch kind {
-		case links.UnexpectedReply:
+		case connpool.UnexpectedReply:
 			action = eventloop.Close
-		case links.LateReply:
+		case connpool.LateReply:
 			pool.lateReplies.Add(1)
-		case links.AttemptReply:
+		case connpool.AttemptReply:
 			result.Attempt = attempt
 			results = append(results, result)
 		}
--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	"cometpond/internal/links"
+	"cometpond/internal/connpool"
 )
 
 // server is the state of one server. Its lock protects addr and the fields below mu.
@@ -13,7 +13,7 @@
 	addr string // where new connections are opened
 
 	mu        sync.Mutex
-	conns     *links.Pool
+	conns     *connpool.Pool
 	probeConn *connection // only for probes, so that no attempt delays them
 	probing   *probe      // the probe in flight
 }
--- a/internal/links/pool.go
+++ b/internal/connpool/pool.go
@@ -5,7 +5,7 @@
 // A server replies in the order of the commands, so a connection that carries a cancelled attempt may be blocked by it.
 // Such a connection takes no further attempts and is closed once it carries no others, so that the server can stop the
 // work.
-package links
+package connpool
 
 import (
 	"cmp"
--- a/internal/links/pool_test.go
+++ b/internal/connpool/pool_test.go
@@ -1,4 +1,4 @@
-package links
+package connpool
 
 import (
 	"flag"
--- a/internal/edge/plan/budget.go
+++ b/internal/edge/plan/budget.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"cometpond/internal/config"
+	"cometpond/internal/connpool"
 	"cometpond/internal/crowd"
-	"cometpond/internal/links"
 	"cometpond/internal/terms"
 )
 
@@ -91,8 +91,8 @@
 // ConnectionLimits returns the limits of the connections to one server, and the dial timeout in seconds. Answers come in
 // the order of the commands, so an abandoned attempt stays in flight until the attempt ahead of it on the same connection
 // is answered. Where two attempts of a request must not be in flight at once, each connection therefore carries only one.
-func ConnectionLimits(settings terms.Settings, budget Budget) (limits links.Limits, dialTimeoutS float64) {
-	limits = links.Limits{Connections: budget.ServerConnections, Pipeline: 1, ReuseDelayS: restAfterAnswerS,
+func ConnectionLimits(settings terms.Settings, budget Budget) (limits connpool.Limits, dialTimeoutS float64) {
+	limits = connpool.Limits{Connections: budget.ServerConnections, Pipeline: 1, ReuseDelayS: restAfterAnswerS,
 		IdleTimeoutS: idleTimeoutShare * settings.ConnIdleTimeoutS}
 	if settings.ParallelAttempts {
 		limits.Pipeline = min(maxPipeline, max(1, settings.AttemptsPerConnection))
