--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -8,7 +8,7 @@
 	"io"
 	"os"
 
-	"cometpond/internal/terms"
+	"cometpond/internal/settings"
 	"cometpond/internal/wire"
 	"cometpond/policy"
 )
@@ -278,7 +278,7 @@
 		if err != nil {
 			return nil, err
 		}
-		parsed, err := terms.Parse([]byte(text))
+		parsed, err := settings.Parse([]byte(text))
 		if err != nil {
 			return nil, fmt.Errorf("ENLIST: field settings: %w", err)
 		}
--- a/internal/edge/config.go
+++ b/internal/edge/config.go
@@ -12,7 +12,7 @@
 
 	"cometpond/internal/edge/endpoints"
 	"cometpond/internal/edge/plan"
-	"cometpond/internal/terms"
+	"cometpond/internal/settings"
 )
 
 // maxConfigBytes limits the size of the configuration file.
@@ -27,7 +27,7 @@
 	PeerAddrs               []string       // the address of each ingress of the tier, this one's included
 	PeerBroadcastAddr       string         // broadcast address that reaches all other ingresses, "" for none
 	InitialList             endpoints.List // the servers known at the start; the zero value if the platform gave none
-	Settings                terms.Settings
+	Settings                settings.Settings
 	Trace                   bool // COMETPOND_EDGE_TRACE is set: log each request and the state of each server
 }
 
@@ -87,7 +87,7 @@
 		return nil, errors.New("settings is missing, want the settings object")
 	}
 	var err error
-	if cfg.Settings, err = terms.Parse(wire.Settings); err != nil {
+	if cfg.Settings, err = settings.Parse(wire.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	for _, field := range []struct{ name, addr string }{{"listen", cfg.Listen}, {"discovery", cfg.Discovery}} {
--- a/internal/edge/plan/budget.go
+++ b/internal/edge/plan/budget.go
@@ -8,7 +8,7 @@
 	"cometpond/internal/config"
 	"cometpond/internal/connpool"
 	"cometpond/internal/crowd"
-	"cometpond/internal/terms"
+	"cometpond/internal/settings"
 )
 
 // Minimum resources that an ingress needs to serve.
@@ -91,7 +91,7 @@
 // ConnectionLimits returns the limits of the connections to one server, and the dial timeout in seconds. Answers come in
 // the order of the commands, so an abandoned attempt stays in flight until the attempt ahead of it on the same connection
 // is answered. Where two attempts of a request must not be in flight at once, each connection therefore carries only one.
-func ConnectionLimits(settings terms.Settings, budget Budget) (limits connpool.Limits, dialTimeoutS float64) {
+func ConnectionLimits(settings settings.Settings, budget Budget) (limits connpool.Limits, dialTimeoutS float64) {
 	limits = connpool.Limits{Connections: budget.ServerConnections, Pipeline: 1, ReuseDelayS: restAfterAnswerS,
 		IdleTimeoutS: idleTimeoutShare * settings.ConnIdleTimeoutS}
 	if settings.ParallelAttempts {
--- a/internal/edge/plan/plan_test.go
+++ b/internal/edge/plan/plan_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"cometpond/internal/terms"
+	"cometpond/internal/settings"
 )
 
 // Clients need a third of the descriptors for connections with requests. All components together must stay within the
@@ -41,7 +41,7 @@
 
 func TestConnectionLimits(t *testing.T) {
 	budget := NewBudget(Resources{1, 64, 384}, 0, 64<<10)
-	settings := terms.Settings{ConnIdleTimeoutS: 15, DialTimeoutS: 0.25, AttemptsPerConnection: 100}
+	settings := settings.Settings{ConnIdleTimeoutS: 15, DialTimeoutS: 0.25, AttemptsPerConnection: 100}
 	limits, dialTimeoutS := ConnectionLimits(settings, budget)
 	if limits.Pipeline != 1 || limits.IdleTimeoutS >= 15 || limits.IdleTimeoutS < 5 || dialTimeoutS != 0.25 {
 		t.Errorf("no parallel attempts allowed: %+v, dial timeout %v s", limits, dialTimeoutS)
--- a/internal/terms/terms_test.go
+++ b/internal/settings/terms_test.go
@@ -1,4 +1,4 @@
-package terms
+package settings
 
 import (
 	"strings"
