--- a/internal/edge/plan/budget.go
+++ b/internal/edge/plan/budget.go
@@ -7,7 +7,7 @@
 
 	"cometpond/internal/config"
 	"cometpond/internal/connpool"
-	"cometpond/internal/crowd"
+	"cometpond/internal/idleconn"
 	"cometpond/internal/settings"
 )
 
@@ -37,7 +37,7 @@
 	OpenRequests      int   // requests in progress
 	HeapBytes         int64 // soft memory limit of the garbage collector
 	Front             config.FrontLimits
-	IdleConnections   crowd.Limits
+	IdleConnections   idleconn.Limits
 }
 
 // Shares of the file descriptors. Clients need up to a third of the descriptors for connections with requests, and get
@@ -69,7 +69,7 @@
 	if maxOpenRequests > 0 {
 		budget.OpenRequests = min(budget.OpenRequests, maxOpenRequests)
 	}
-	budget.IdleConnections = crowd.DefaultLimits(budget.ClientConnections, commandTimeout.Seconds())
+	budget.IdleConnections = idleconn.DefaultLimits(budget.ClientConnections, commandTimeout.Seconds())
 	budget.Front = config.FrontLimits{MaxConnections: budget.ClientConnections, MaxArgumentBytes: maxValueBytes, MaxPipelined: 256, MaxUnreadBytes: 2 * maxValueBytes,
 		MaxInputBytes: memory / 16, PartialTimeout: commandTimeout}
 	return budget
--- a/internal/front/commands_test.go
+++ b/internal/front/commands_test.go
@@ -9,7 +9,7 @@
 
 	"cometpond/internal/config"
 	"cometpond/internal/core"
-	"cometpond/internal/crowd"
+	"cometpond/internal/idleconn"
 	"cometpond/internal/resp"
 )
 
@@ -38,7 +38,7 @@
 			limits.MaxConnections, limits.PartialTimeout = maxConnections, time.Minute
 		},
 		func(options *Options) {
-			options.Handler, options.Loops, options.IdleLimits = echoHandler{}, 1, crowd.DefaultLimits(maxConnections, 60)
+			options.Handler, options.Loops, options.IdleLimits = echoHandler{}, 1, idleconn.DefaultLimits(maxConnections, 60)
 		}
 }
 
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -6,8 +6,8 @@
 
 	"cometpond/internal/access"
 	"cometpond/internal/core"
-	"cometpond/internal/crowd"
 	"cometpond/internal/eventloop"
+	"cometpond/internal/idleconn"
 	"cometpond/internal/resp"
 )
 
@@ -19,19 +19,19 @@
 	socket           *eventloop.Conn
 	loop             *connLoop
 	id               uint64
-	client           *access.Client    // nil until login
-	name             string            // set by CLIENT SETNAME
-	respVersion      int               // of RESP: 2 or 3
-	openedAt         time.Time         // when it was opened
-	usage            crowd.Connection  // its use so far, for closing and evicting idle connections
-	input            []byte            // input not processed yet: the beginning of a command, or commands to be parsed later
-	minInput         int               // length of input below which parsing can't make progress
-	incompleteSince  time.Time         // when the command that is still incomplete began to arrive, zero if there is none
-	readAt           float64           // when input last arrived
-	inputSentAt      float64           // when the input being parsed may have been sent, if before a pause of the process; else 0
-	lastReadSentAt   float64           // the same for the last read
-	args             [][]byte          // arguments of a command, kept to reuse the memory
-	pending          []*pendingCommand // commands whose replies have not been written, from firstPending on
+	client           *access.Client      // nil until login
+	name             string              // set by CLIENT SETNAME
+	respVersion      int                 // of RESP: 2 or 3
+	openedAt         time.Time           // when it was opened
+	usage            idleconn.Connection // its use so far, for closing and evicting idle connections
+	input            []byte              // input not processed yet: the beginning of a command, or commands to be parsed later
+	minInput         int                 // length of input below which parsing can't make progress
+	incompleteSince  time.Time           // when the command that is still incomplete began to arrive, zero if there is none
+	readAt           float64             // when input last arrived
+	inputSentAt      float64             // when the input being parsed may have been sent, if before a pause of the process; else 0
+	lastReadSentAt   float64             // the same for the last read
+	args             [][]byte            // arguments of a command, kept to reuse the memory
+	pending          []*pendingCommand   // commands whose replies have not been written, from firstPending on
 	firstPending     int
 	grantedBytes     int  // bytes of input that the pool has granted
 	bytesBeforeLogin int  // bytes of input that the pool counts for clients that have not logged in
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -16,8 +16,8 @@
 	"cometpond/internal/access"
 	"cometpond/internal/config"
 	"cometpond/internal/core"
-	"cometpond/internal/crowd"
 	"cometpond/internal/eventloop"
+	"cometpond/internal/idleconn"
 	"cometpond/internal/intake"
 	"cometpond/internal/resp"
 )
@@ -62,8 +62,8 @@
 	// reading is paused: its open requests are cancelled and input received before the end is discarded. Otherwise that
 	// input is processed first.
 	CloseOnClientEOF bool
-	IdleLimits       crowd.Limits  // when idle connections are closed or evicted; with the zero value they are kept
-	Info             func() string // returns the text of the INFO command
+	IdleLimits       idleconn.Limits // when idle connections are closed or evicted; with the zero value they are kept
+	Info             func() string   // returns the text of the INFO command
 	// InputAge returns the maximum age of the input that is being read, and the current time. readAt is the time of the
 	// previous read from the connection, and readingPaused means that reading was paused on purpose since then. With nil
 	// the age of input is always 0.
--- a/internal/crowd/crowd.go
+++ b/internal/idleconn/crowd.go
@@ -4,7 +4,7 @@
 // A connection that has never sent a command is closed after a short time. A connection whose last answer was long ago may
 // belong to a client that does not come back; it is closed sooner the more connections are open, but never so soon that a
 // client is disconnected between two requests.
-package crowd
+package idleconn
 
 // Limits limit idle connections. Times are in seconds. The zero value keeps all connections.
 type Limits struct {
--- a/internal/crowd/crowd_test.go
+++ b/internal/idleconn/crowd_test.go
@@ -1,4 +1,4 @@
-package crowd
+package idleconn
 
 import "testing"
 
