--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"cometpond/internal/stall"
+	"cometpond/internal/pause"
 	"cometpond/policy"
 )
 
@@ -65,7 +65,7 @@
 	nextWakeup    float64 // when Run's goroutine will wake up by itself
 	answers       []answerBatch
 	current       inbox // the batch in progress
-	pauseDetector stall.Detector
+	pauseDetector pause.Detector
 	settle        func() // waits until the data in the socket buffers has been read
 }
 
@@ -120,7 +120,7 @@
 // NewLoop returns a loop that is to be driven by Run. Attach sets the back end and the peers before Run is called.
 func NewLoop(settings policy.Settings, seed uint64, clock Clock) (*Loop, error) {
 	loop := &Loop{clock: clock, wakeup: make(chan struct{}, 1)}
-	loop.settle = func() { time.Sleep(time.Duration(stall.SettleS * 1e9)) }
+	loop.settle = func() { time.Sleep(time.Duration(pause.SettleS * 1e9)) }
 	machine, err := NewMachine(settings, seed, clock.Now(), (*loopEffects)(loop))
 	if err != nil {
 		return nil, err
--- a/internal/core/pause_monitor.go
+++ b/internal/core/pause_monitor.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"cometpond/internal/stall"
+	"cometpond/internal/pause"
 )
 
 // PauseMonitor tells the fronts how old the data that they read may be after the process was paused. Its methods may
@@ -13,7 +13,7 @@
 type PauseMonitor struct {
 	clock    Clock
 	mu       sync.Mutex
-	detector stall.Detector
+	detector pause.Detector
 	pauses   uint64
 }
 
@@ -26,7 +26,7 @@
 
 // Run reads the clock regularly until ctx is done.
 func (mon *PauseMonitor) Run(ctx context.Context) {
-	tick := time.NewTicker(time.Duration(stall.MinPauseS / 5 * 1e9))
+	tick := time.NewTicker(time.Duration(pause.MinPauseS / 5 * 1e9))
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/stall/stall.go
+++ b/internal/pause/stall.go
@@ -5,7 +5,7 @@
 // therefore applies lists of servers first, because they are newer than what it knows. It drops messages of other
 // instances, because they are older than they look; the network may drop them as well. It counts the time of a
 // request from the start of the pause, so that no request is forwarded past its deadline.
-package stall
+package pause
 
 // Times in seconds.
 const (
--- a/internal/stall/stall_test.go
+++ b/internal/pause/stall_test.go
@@ -1,4 +1,4 @@
-package stall
+package pause
 
 import "testing"
 
