--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,6 +1,6 @@
 // Package backend carries attempts to servers that speak RESP, over pooled and pipelined connections on event loops. It
 // reports to the core what the end of each attempt proves: that there is a reply, that the attempt never ran, or that it
-// may have run. Package links decides which connection carries an attempt, and the core decides which server.
+// may have run. Package connpool decides which connection carries an attempt, and the core decides which server.
 package backend
 
 import (
@@ -56,8 +56,8 @@
 	MaxTotalConnections int           // to all servers, which share it evenly; connections for probes are not counted; 0: no limit
 	Pipeline            int           // attempts on one connection at the same time, at least 1
 	ConnectTimeout      time.Duration // timeout for opening a connection
-	ReuseDelayS         float64       // see links.Limits
-	IdleTimeoutS        float64       // see links.Limits; 0: no limit
+	ReuseDelayS         float64       // see connpool.Limits
+	IdleTimeoutS        float64       // see connpool.Limits; 0: no limit
 	StrictProbes        bool          // a probe connection is closed when an unexpected reply comes
 	Loops               int           // event loops, at least 1
 	// DialContext opens a connection; nil: over TCP.
@@ -271,7 +271,7 @@
 	}
 }
 
-// Withdraw takes back an attempt that has not been written; it then ends as policy.Moot. A written one runs to its end.
+// Withdraw takes back an attempt that has not been written; it then ends as policy.NotSent. A written one runs to its end.
 func (pool *Pool) Withdraw(attempt core.AttemptID, name string) {
 	if srv := pool.server(name); srv != nil {
 		srv.mu.Lock()
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -21,7 +21,7 @@
 	closed    bool            // used only by the loop's goroutine
 	greetings int             // replies to the greeting still to come; only for a probe connection
 	usedAt    float64         // when a probe connection was last used; protected by the server's lock
-	state     *connpool.Conn  // its state in links.Pool; nil for a probe connection
+	state     *connpool.Conn  // its state in connpool.Pool; nil for a probe connection
 }
 
 // queuedAttempt is an attempt that is about to be written.
@@ -30,7 +30,7 @@
 	payload []byte
 }
 
-// effects carries out what links.Pool decides. Its methods are called with the server's lock held.
+// effects carries out what connpool.Pool decides. Its methods are called with the server's lock held.
 type effects server
 
 // Dial opens a connection for attempts.
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -37,7 +37,7 @@
 }
 
 // dialFailed ends the attempts, or the probe, that waited for a connection. An error on this machine's side says nothing
-// about the server: attempts then end as policy.Moot.
+// about the server: attempts then end as policy.NotSent.
 func (srv *server) dialFailed(forProbes bool, err error) {
 	status := policy.ConnectFailed
 	if syserr.Local(err) {
--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -1,4 +1,4 @@
-// Package links is the connection pool of one server without its I/O: it decides which connection carries an attempt,
+// Package connpool is the connection pool of one server without its I/O: it decides which connection carries an attempt,
 // when a connection is opened or closed, and what the end of a connection proves about the attempts on it. It has no
 // clock and no goroutine; internal/backend carries out its decisions.
 //
@@ -87,7 +87,7 @@
 
 // Send starts an attempt. It uses, in this order: an idle connection, a new connection, a connection that has just
 // received a reply (see Limits.ReuseDelayS), or the connection with the fewest attempts. If every limit is reached, the
-// attempt ends at once as policy.Full: the server has not seen it.
+// attempt ends at once as policy.Rejected: the server has not seen it.
 func (pool *Pool) Send(now float64, attempt core.AttemptID, payload []byte, timing policy.Timing) {
 	pending := &pendingReply{attempt: attempt, payload: payload,
 		startBy: now + min(timing.StartWithinS, timing.AnswerWithinS), answerBy: now + timing.AnswerWithinS}
@@ -268,7 +268,7 @@
 }
 
 // DialFailed ends the attempts that waited for a connection that could not be opened, unless another connection can carry
-// them: they never ran. Status is policy.ConnectFailed, or policy.Moot where the server is not at fault.
+// them: they never ran. Status is policy.ConnectFailed, or policy.NotSent where the server is not at fault.
 func (pool *Pool) DialFailed(now float64, status policy.Status) {
 	pool.dialing--
 	pool.placeWaiting(now)
@@ -283,7 +283,7 @@
 	}
 }
 
-// Withdraw takes back an attempt whose reply is no longer needed. If it is unwritten, it ends as policy.Moot and the
+// Withdraw takes back an attempt whose reply is no longer needed. If it is unwritten, it ends as policy.NotSent and the
 // server never sees it; otherwise it runs to its end.
 func (pool *Pool) Withdraw(attempt core.AttemptID) {
 	if pending := pool.attempts[attempt]; pending != nil && !pending.written {
--- a/internal/connpool/pool_test.go
+++ b/internal/connpool/pool_test.go
@@ -410,7 +410,7 @@
 	}
 }
 
-// An attempt that is not written within its time to start ends as policy.Moot: the server is not at fault.
+// An attempt that is not written within its time to start ends as policy.NotSent: the server is not at fault.
 func TestTooLateToStart(t *testing.T) {
 	rec := newRecord()
 	pool := New(Limits{Connections: 1, Pipeline: 1}, rec)
--- a/internal/idleconn/crowd.go
+++ b/internal/idleconn/idleconn.go
@@ -1,4 +1,4 @@
-// Package crowd decides which idle client connections are closed: connections that use a file descriptor without having
+// Package idleconn decides which idle client connections are closed: connections that use a file descriptor without having
 // an open request. It has no I/O, no clock and no goroutine.
 //
 // A connection that has never sent a command is closed after a short time. A connection whose last answer was long ago may
--- a/internal/pause/stall.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package stall detects that the process was paused, by a signal, by swapping or by a lack of CPU, and bounds the age
+// Package pause detects that the process was paused, by a signal, by swapping or by a lack of CPU, and bounds the age
 // of the data that it reads afterwards. It has no I/O, no clock and no goroutine.
 //
 // Data that waited in socket buffers during a pause may be as old as the pause is long. After a pause an instance
--- a/internal/peer/seal.go
+++ b/internal/peer/seal.go
@@ -110,7 +110,7 @@
 // boot; datagrams of an earlier boot are rejected.
 type replayWindow struct {
 	boot, highest uint64                        // latest boot, and the highest counter received from it
-	seen          [replayWindowSize / 64]uint64 // bit set of the counters received, by counter modulo windowSize
+	seen          [replayWindowSize / 64]uint64 // bit set of the counters received, by counter modulo replayWindowSize
 }
 
 // accept records a datagram and reports whether it is new.
--- a/internal/settings/terms.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package terms translates the settings object of the platform into the settings of the policy module. The simulator
+// Package settings translates the settings object of the platform into the settings of the policy module. The simulator
 // hands the object to each instance, and an ingress finds it in its configuration file; both use this translation.
 package settings
 
